--- a/berylnotch/entry/__init__.py
+++ b/berylnotch/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Request path of a fleet's router: choice of targets, attempts, answers."""
+"""Request path of a router: target selection, attempts and responses."""
--- a/berylnotch/entry/admission.py
+++ b/berylnotch/entry/admission.py
@@ -1,9 +1,10 @@
-"""Whether a request is worth sending, or should come back later.
+"""Admission control for streams, based on the delay expected at the best target.
 
-It answers the load of a few engines that must carry the traffic of many, as while
-others load weights, are lost or start with empty memory. Prompts then queue until
-callers give up, and each one that was read in vain delays the next. A request whose
-first event can't come in time is refused at once, as not run.
+It guards against overload while a few engines carry the traffic of many, for example
+while the other engines load weights, are lost, or restart with an empty prefix cache.
+Without admission control, prompts queue until callers time out, and every prompt that
+is processed for an absent caller delays the next one. A request whose first event
+cannot arrive in time is refused at once, with the promise that it has not run.
 """
 
 from __future__ import annotations
@@ -12,47 +13,57 @@
 
 from berylnotch.entry.model import Choice
 
-#: Multiple of the target latency up to which a stream is still of use: callers
-#: abandon it at four times, and the estimate may be short.
-PATIENCE_FACTOR = 2.6
+#: Longest admitted delay until the first event, as a multiple of the target latency.
+#: Callers abandon a stream at four times the target latency; the margin covers
+#: estimates that are too low.
+MAX_DELAY_FACTOR = 2.6
 
-#: Part of an engine's slots that must be taken before a request is refused.
-BUSY_PART = 0.5
+#: Fraction of an engine's slots from which the engine counts as busy. An engine that
+#: is neither busy nor has a prompt queue refuses no request.
+BUSY_SLOT_FRACTION = 0.5
 
-#: Unread prompt tokens that count as a queue.
-QUEUE_TOKENS = 8 * 1024
+#: Unprocessed prompt tokens from which an engine counts as having a prompt queue.
+MIN_QUEUE_TOKENS = 8 * 1024
 
-#: Bounds of the time after which a refused caller shall come back, in seconds.
+#: Bounds of the retry delay that a refused caller is given, in seconds.
 MIN_RETRY_S = 0.2
 MAX_RETRY_S = 3.0
 
 
 @frozen
-class Verdict:
-    """Whether to send, and if not, when the caller shall come back."""
+class AdmissionDecision:
+    """Whether a request is sent, and the caller's retry delay if it is refused."""
 
     is_admitted: bool
     retry_after_s: float = 0.0
 
 
-def judge(choice: Choice, target_latency_s: float, left_s: float) -> Verdict:
-    """Judge the best choice for a stream.
+def judge(
+    choice: Choice, target_latency_s: float, remaining_s: float
+) -> AdmissionDecision:
+    """Decide whether a stream is sent to its best target or refused.
 
     Parameters
     ----------
     choice : Choice
-        Best target, and the delay expected there.
+        Best target and the expected delay until its first event.
     target_latency_s : float
-        Time in which the first event should come.
-    left_s : float
-        Time until the request's deadline.
+        Time within which the first event should arrive, in seconds. With 0 every
+        request is admitted.
+    remaining_s : float
+        Time until the request's deadline, in seconds.
+
+    Returns
+    -------
+    AdmissionDecision
+        Decision with the retry delay in seconds if the request is refused.
     """
     target, delay_s = choice.target, choice.delay_ms / 1000
-    patience_s = min(left_s, PATIENCE_FACTOR * target_latency_s)
-    if not target_latency_s or delay_s <= patience_s:
-        return Verdict(True)
-    is_busy = target.load >= BUSY_PART * max(1, target.listed.slots)
-    if not is_busy and target.total_unread < QUEUE_TOKENS:
-        return Verdict(True)
+    max_delay_s = min(remaining_s, MAX_DELAY_FACTOR * target_latency_s)
+    if not target_latency_s or delay_s <= max_delay_s:
+        return AdmissionDecision(True)
+    is_busy = target.load >= BUSY_SLOT_FRACTION * max(1, target.listed.slots)
+    if not is_busy and target.total_unread < MIN_QUEUE_TOKENS:
+        return AdmissionDecision(True)
     wait_s = delay_s - target_latency_s
-    return Verdict(False, min(MAX_RETRY_S, max(MIN_RETRY_S, wait_s)))
+    return AdmissionDecision(False, min(MAX_RETRY_S, max(MIN_RETRY_S, wait_s)))
--- a/berylnotch/entry/admitted.py
+++ b/berylnotch/entry/admitted.py
@@ -1,4 +1,4 @@
-"""A request with its route and organisation."""
+"""A caller's request after routing and authentication."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 from berylnotch.platform.requests import CallerRequest
 from berylnotch.routing.model import Organisation, Route, RouteKind
 
-#: Engine priorities of one organisation's rank: as many as routes have ranks.
+#: Number of engine priorities for each organisation priority: equal to the number of
+#: route priorities.
 PRIORITIES_PER_RANK = 3
 
-#: Lowest urgency that engines know.
-LAST_PRIORITY = 9
+#: Least urgent priority that engines support.
+LEAST_URGENT_PRIORITY = 9
 
 #: Engine priority below which a request counts as urgent.
 URGENT_PRIORITY = PRIORITIES_PER_RANK
@@ -20,7 +21,19 @@
 
 @frozen
 class Admitted:
-    """A request with its route and organisation."""
+    """A request with its route and its organisation.
+
+    Parameters
+    ----------
+    request : HttpRequest
+        Request received from the caller.
+    caller : CallerRequest
+        Decoded headers of the request.
+    route : Route
+        Matched route.
+    organisation : Organisation or None
+        Organisation that owns the caller's key, None if no key is required.
+    """
 
     request: HttpRequest
     caller: CallerRequest
@@ -29,25 +42,27 @@
 
     @property
     def cost(self) -> int:
-        """What the request counts against its organisation's limit."""
+        """Units that the request takes from its organisation's rate limit."""
         if self.organisation is None or not self.organisation.counts_tokens:
             return 1
         return self.caller.tokens or self.organisation.default_cost
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Whether the response is a stream of events."""
         return self.route.kind is RouteKind.STREAM
 
     @property
     def priority(self) -> int:
-        """Urgency at engines, 0 first; the organisation's rank goes first."""
+        """Engine priority, 0 being the most urgent; organisation before route."""
         rank = self.organisation.priority if self.organisation else 0
-        return min(LAST_PRIORITY, rank * PRIORITIES_PER_RANK + self.route.priority)
+        return min(
+            LEAST_URGENT_PRIORITY, rank * PRIORITIES_PER_RANK + self.route.priority
+        )
 
     @property
     def is_urgent(self) -> bool:
-        """Whether engines admit the request before most others."""
+        """Whether engines admit the request before requests of most others."""
         return self.priority < URGENT_PRIORITY
 
     @property
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -1,11 +1,11 @@
-"""One sending of a request to one target."""
+"""One attempt to have a request answered by one target."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from berylnotch.entry.events import MAX_EVENT_BYTES, EventSplitter
-from berylnotch.entry.judging import is_encoded, passed_on, problem_of
+from berylnotch.entry.judging import forwarded_headers, is_encoded, response_problem
 from berylnotch.entry.moving import MovedRun, RunMove
 from berylnotch.entry.patience import Waiting, overdue_at
 from berylnotch.entry.reading import PromptReading
@@ -30,40 +30,41 @@
     from berylnotch.entry.context import EntryContext
     from berylnotch.entry.model import Choice
 
-#: Largest answer that is not a stream, in bytes.
+#: Maximum size, in bytes, of a response that is not a stream.
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
-#: Seconds for which a target that said it is full, but not for how long, gets no
-#: request.
-FULL_S = 0.15
+#: Back-off, in seconds, after a target refuses a request because it is full and names
+#: no back-off itself.
+FULL_TARGET_BACKOFF_S = 0.15
 
-#: Seconds for which a target that is not the expected one, or runs other weights,
-#: gets no request; by then the leader knows more.
-MISDIRECTED_S = 0.4
+#: Back-off, in seconds, after a target refuses a request because it is not the expected
+#: target or runs other weights. The leader has newer information by then.
+MISDIRECTED_BACKOFF_S = 0.4
 
-#: Seconds until a run that found no place is looked at again.
-MOVE_RETRY_S = 0.8
+#: Seconds until the next attempt to migrate a run that no engine has taken over. Also
+#: the interval of the timeout check while a migration is in progress.
+MIGRATION_RETRY_S = 0.8
 
-#: Engines that are asked to take a run over before that pause: where two have no room
-#: the others are full as well.
-MAX_REFUGES = 2
+#: Number of engines that are asked to take over a run before that pause: if two engines
+#: have no room, the others are full as well.
+MAX_MIGRATION_TARGETS = 2
 
 
 class Attempt(ResponseSink):
-    """A request at one target.
+    """One request sent to one target, up to its response or its failure.
 
     Parameters
     ----------
     context : EntryContext
         Shared state of the router.
     choice : Choice
-        Where it is sent.
+        Target that the request is sent to.
     admitted : Admitted
         The request.
-    told : TargetHeaders
-        What the target is told beside it.
+    target_headers : TargetHeaders
+        Values of the headers that are added for the target.
     owner : AttemptOwner
-        Hears of the answer.
+        Receives the response and the result of the attempt.
     """
 
     def __init__(
@@ -71,16 +72,16 @@
         context: EntryContext,
         choice: Choice,
         admitted: Admitted,
-        told: TargetHeaders,
+        target_headers: TargetHeaders,
         owner: AttemptOwner,
     ) -> None:
         self._context = context
         self._target = choice.target
-        self._reading = PromptReading(context, choice, admitted, told)
+        self._reading = PromptReading(context, choice, admitted, target_headers)
         self._is_long = admitted.caller.chain.has_home
         self._expected_s = choice.delay_ms / 1000
         self._admitted = admitted
-        self._told = told
+        self._target_headers = target_headers
         self._owner = owner
         self._connection: ClientConnection | None = None
         self._head: ResponseHead | None = None
@@ -88,71 +89,72 @@
         self._splitter = EventSplitter()
         self._body = bytearray()
         self._sent_at = 0.0
-        self._heard_at = 0.0
-        self._is_over = False
-        self._number = id(self)
-        self._move: RunMove | None = None
-        self._move_again_at = 0.0
-        #: Engines that did not take the run.
-        self._without_room: set[str] = set()
-        #: Whether the target may have stopped the run without saying so.
-        self._is_in_doubt = False
+        self._last_event_at = 0.0
+        self._has_ended = False
+        self._attempt_id = id(self)
+        self._migration: RunMove | None = None
+        self._next_migration_at = 0.0
+        #: Identities of the engines that did not take over the run.
+        self._asked_destinations: set[str] = set()
+        #: Whether the target may have stopped the run for a migration that it did not
+        #: confirm.
+        self._may_have_stopped = False
 
     @property
     def has_sent(self) -> bool:
-        """Whether the target may have seen the request."""
+        """Whether the target may have received the request."""
         return self._connection is not None and self._connection.has_sent
 
     def start(self) -> None:
         """Send the request."""
         target, route = self._target, self._admitted.route
-        request = encode_for_target(self._admitted.request, self._told)
+        request = encode_for_target(self._admitted.request, self._target_headers)
         self._connection = self._context.targets.connect(target, route.is_repeatable)
         target.in_flight += 1
         target.long_in_flight += self._is_long
         self._reading.begin()
         self._sent_at = boot_time()
-        target.ejection.sent(self._sent_at, self._number)
+        target.ejection.sent(self._sent_at, self._attempt_id)
         self._connection.send(request, self)
-        self._watch_answer()
+        self._check_overdue()
 
     def pause(self) -> None:
-        """Stop reading for a slow caller."""
+        """Stop reading the response while the caller is congested (backpressure)."""
         if self._connection is not None:
             self._connection.pause()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read the response."""
         if self._connection is not None:
             self._connection.resume()
 
     def cancel(self, is_overdue: bool = False) -> None:
-        """End the attempt; the target stops working on it.
+        """End the attempt and close its connection, so that the target stops the run.
 
         Parameters
         ----------
         is_overdue : bool, default=False
-            Whether the target should have answered by now.
+            Whether the response is overdue, which counts as a failure of the target.
         """
-        if self._is_over:
+        if self._has_ended:
             return
         if is_overdue and self._head is None:
-            self._target.ejection.failed(boot_time(), self._number)
+            self._target.ejection.failed(boot_time(), self._attempt_id)
             self._target.note_outcome(has_failed=True)
         else:
-            self._target.ejection.abandoned(self._number)
-        self._count("overdue" if is_overdue else "cancelled")
-        if self._move is not None:
-            self._move.cancel()
-        self._leave()
+            self._target.ejection.abandoned(self._attempt_id)
+        self._count_result("overdue" if is_overdue else "cancelled")
+        if self._migration is not None:
+            self._migration.cancel()
+        self._release_target()
         self._connection.close()
 
-    def _watch_answer(self) -> None:
-        """Give up a repeatable request whose answer does not come or go on."""
-        if self._is_over or not self._admitted.route.is_repeatable:
+    def _check_overdue(self) -> None:
+        """End the attempt of a repeatable request if its response is overdue."""
+        if self._has_ended or not self._admitted.route.is_repeatable:
             return
-        if self._move is not None:
-            self._context.loop.call_later(MOVE_RETRY_S, self._watch_answer)
+        if self._migration is not None:
+            self._context.loop.call_later(MIGRATION_RETRY_S, self._check_overdue)
             return
         route, now = self._admitted.route, boot_time()
         waiting = Waiting(
@@ -160,30 +162,32 @@
             self._expected_s,
             self._admitted.is_stream,
             self._head is not None,
-            self._heard_at if self._is_stream else 0.0,
+            self._last_event_at if self._is_stream else 0.0,
             self._target.heard_at,
         )
-        overdue = overdue_at(self._context.settings, route, waiting)
-        if now < overdue or not route.target_latency_s:
-            delay_s = max(0.05, overdue - now)
-            self._context.loop.call_later(delay_s, self._watch_answer)
+        due_at = overdue_at(self._context.settings, route, waiting)
+        if now < due_at or not route.target_latency_s:
+            delay_s = max(0.05, due_at - now)
+            self._context.loop.call_later(delay_s, self._check_overdue)
         elif self._owner.may_move():
-            waited_s = now - (self._heard_at or self._sent_at)
+            waited_s = now - (self._last_event_at or self._sent_at)
             self.cancel(is_overdue=True)
-            self._end(AttemptEnd.BROKEN, f"nothing heard for {waited_s:.2f} s")
+            self._report_end(
+                AttemptEnd.BROKEN, f"no data from the target for {waited_s:.2f} s"
+            )
 
-    # Answer of the target.
+    # Events of the client connection.
 
     def on_head(self, head: ResponseHead) -> bool:
-        """Take the head; one of another request is skipped."""
+        """Accept the response head; skip the head of a response to another request."""
         answer = decode_answer(head.status, head.headers)
         take_signals(
             self._context, self._target, answer, self._admitted.caller.request_id
         )
         own_id = self._admitted.caller.request_id
         if not answer.request_id and head.status >= 300 and self._connection.is_reused:
-            # It may be a late one of the request before.
-            self._break_off("failure without an id on a kept connection")
+            # It may be a late response to the previous request on this connection.
+            self._abort("error response without a request id on a reused connection")
             return False
         if answer.request_id != own_id and (answer.request_id or head.status < 300):
             self._context.log.warning(
@@ -196,7 +200,7 @@
             return False
         self._head = head
         if head.headers.get("Connection").lower() == "close":
-            # It leaves soon.
+            # A target that closes its connections is about to leave.
             self._context.log.info(
                 "target_closes", target=self._target.target_id, status=head.status
             )
@@ -205,92 +209,96 @@
         return True
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
-        if self._is_over:
+        """Process a part of the response body."""
+        if self._has_ended:
             return
         if is_encoded(self._head):
-            self._break_off("encoded answer")
+            self._abort("response has a content encoding that was not requested")
             return
         if not self._is_stream:
             self._target.heard_at = boot_time()
             self._body += data
             if len(self._body) > MAX_ANSWER_BYTES:
-                self._break_off("answer too large")
+                self._abort(f"response body exceeds {MAX_ANSWER_BYTES} bytes")
             return
         if not decode_answer(200, self._head.headers).stamp:
-            self._break_off("stream without a stamp")
+            self._abort("stream has no server stamp")
             return
         self._reading.done(self._sent_at)
         for event in self._splitter.feed(data):
             if event.is_progress:
-                # Bytes alone, or comments, do not show that the stream goes on.
-                self._heard_at = self._target.heard_at = boot_time()
-            self._owner.stream_began(200, passed_on(self._head))
+                # Incomplete events and comments do not show that the run progresses.
+                self._last_event_at = self._target.heard_at = boot_time()
+            self._owner.stream_began(200, forwarded_headers(self._head))
             self._owner.event(event.data, event.number)
-            if self._is_over:
+            if self._has_ended:
                 return
         if len(self._splitter.tail) > MAX_EVENT_BYTES:
-            self._break_off("event too large")
+            self._abort(f"event exceeds {MAX_EVENT_BYTES} bytes")
         elif self._target.is_emptying or self._target.is_leaving:
-            self._leave_target()
+            self._start_migration()
 
     def on_complete(self) -> None:
-        """Judge a whole answer."""
-        if self._is_over:
+        """Check a received response and report the result of the attempt."""
+        if self._has_ended:
             return
-        if self._move is not None and not self._head.is_delimited:
-            # The end of the connection may be that of the run, or that of its stay.
-            self._move.hold(self.on_complete)
+        if self._migration is not None and not self._head.is_delimited:
+            # The connection closes at the end of the run and also if the run is stopped
+            # for the migration.
+            self._migration.hold(self.on_complete)
             return
         answer = decode_answer(self._head.status, self._head.headers)
         target, status = self._target, self._head.status
-        self._leave()
+        self._release_target()
         tail = self._splitter.tail if self._is_stream else None
-        problem = problem_of(self._head, answer, tail, self._is_in_doubt)
+        problem = response_problem(self._head, answer, tail, self._may_have_stopped)
         if problem:
             self._connection.close()
-            self._end(AttemptEnd.BROKEN, problem)
+            self._report_end(AttemptEnd.BROKEN, problem)
             return
         self._context.targets.keep(target, self._connection)
         if answer.is_not_run:
-            self._refused(status)
+            self._on_refusal(status)
             return
         if self._is_stream:
-            self._end_stream()
+            self._on_stream_complete()
             return
         if status in (408, 421, 429, 503):
-            # To a caller these statuses promise that the request has not run.
-            self._end(AttemptEnd.BROKEN, f"status {status} without a promise")
+            # For a caller these statuses promise that the request has not run.
+            self._report_end(
+                AttemptEnd.BROKEN,
+                f"status {status} without the header for requests that did not run",
+            )
             return
         if status < 500:
-            target.ejection.succeeded(self._number, self._sent_at)
+            target.ejection.succeeded(self._attempt_id, self._sent_at)
         else:
-            target.ejection.abandoned(self._number)
+            target.ejection.abandoned(self._attempt_id)
         target.note_outcome(status >= 500, boot_time() - self._sent_at)
-        self._count(f"status-{status // 100}xx")
+        self._count_result(f"status-{status // 100}xx")
         self._owner.ended(
             AttemptResult(
                 target,
                 AttemptEnd.ANSWERED,
                 status=status,
-                headers=passed_on(self._head),
+                headers=forwarded_headers(self._head),
                 body=bytes(self._body),
             )
         )
 
     def on_failure(self, failure: Failure, reason: str) -> None:
-        """Judge a failed connection."""
-        if self._is_over:
+        """Report a failed connection as the result of the attempt."""
+        if self._has_ended:
             return
-        if self._move is not None:
-            self._move.hold(lambda: self.on_failure(failure, reason))
+        if self._migration is not None:
+            self._migration.hold(lambda: self.on_failure(failure, reason))
             return
-        self._leave()
+        self._release_target()
         target, now = self._target, boot_time()
-        target.ejection.failed(now, self._number)
+        target.ejection.failed(now, self._attempt_id)
         target.note_outcome(has_failed=True)
         if failure is Failure.NOT_SENT:
-            # Nothing listens there any more, and what it held is lost.
+            # No process listens there any more, and its prefix cache is lost.
             self._context.prompts.forget_engine(target.target_id)
         self._context.log.warning(
             "attempt_failed",
@@ -302,47 +310,51 @@
             failures=target.ejection.failures,
         )
         if failure is Failure.NOT_SENT:
-            self._end(AttemptEnd.NOT_REACHED, reason)
+            self._report_end(AttemptEnd.NOT_REACHED, reason)
         else:
-            self._end(AttemptEnd.BROKEN, reason, is_lost=True)
+            self._report_end(AttemptEnd.BROKEN, reason, is_lost=True)
 
-    def _leave_target(self) -> None:
-        """Let the run go on elsewhere, so that its engine is free sooner."""
+    def _start_migration(self) -> None:
+        """Migrate the run to another engine, so that its engine is free sooner."""
         now = boot_time()
-        is_due = self._is_long and self._move is None and now >= self._move_again_at
-        if self._is_over or not is_due:
+        is_due = (
+            self._is_long and self._migration is None and now >= self._next_migration_at
+        )
+        if self._has_ended or not is_due:
             return
-        refuge = None
-        if len(self._without_room) < MAX_REFUGES:
-            refuge = self._owner.refuge(self._without_room)
-        if refuge is None:
-            self._move_again_at = now + MOVE_RETRY_S
-            self._without_room.clear()
+        destination = None
+        if len(self._asked_destinations) < MAX_MIGRATION_TARGETS:
+            destination = self._owner.refuge(self._asked_destinations)
+        if destination is None:
+            self._next_migration_at = now + MIGRATION_RETRY_S
+            self._asked_destinations.clear()
             return
-        self._without_room.add(refuge.target_id)
+        self._asked_destinations.add(destination.target_id)
         request_id = self._admitted.caller.request_id
-        self._move = RunMove(
-            self._context, request_id, self._target, refuge, self._move_ended
+        self._migration = RunMove(
+            self._context, request_id, self._target, destination, self._on_migration_end
         )
-        self._move.start()
+        self._migration.start()
 
-    def _move_ended(self, moved: MovedRun | None, is_sure: bool) -> None:
-        move, self._move = self._move, None
+    def _on_migration_end(self, moved: MovedRun | None, is_sure: bool) -> None:
+        migration, self._migration = self._migration, None
         if moved is not None:
-            self._target.ejection.succeeded(self._number, self._sent_at)
-            self._leave()
+            self._target.ejection.succeeded(self._attempt_id, self._sent_at)
+            self._release_target()
             self._connection.close()
-            self._end(AttemptEnd.MOVED, "", moved=moved)
+            self._report_end(AttemptEnd.MOVED, "", moved=moved)
             return
-        self._is_in_doubt = not is_sure
-        if move.stream_end is not None:
-            move.stream_end()
+        self._may_have_stopped = not is_sure
+        if migration.stream_end is not None:
+            migration.stream_end()
 
-    def _refused(self, status: int) -> None:
-        """Act on a target that did not run the request."""
+    def _on_refusal(self, status: int) -> None:
+        """Back off from a target that refused the request without running it."""
         target = self._target
-        target.ejection.abandoned(self._number)
-        pause_s = FULL_S if status in (503, 429) else MISDIRECTED_S
+        target.ejection.abandoned(self._attempt_id)
+        pause_s = (
+            FULL_TARGET_BACKOFF_S if status in (503, 429) else MISDIRECTED_BACKOFF_S
+        )
         target.back_off(boot_time(), pause_s)
         self._context.log.warning(
             "target_refused",
@@ -351,44 +363,44 @@
             status=status,
             load=target.load,
         )
-        self._end(AttemptEnd.NOT_RUN, f"refused with {status}")
+        self._report_end(AttemptEnd.NOT_RUN, f"refused with {status}")
 
-    def _end_stream(self) -> None:
-        self._target.ejection.succeeded(self._number, self._sent_at)
+    def _on_stream_complete(self) -> None:
+        self._target.ejection.succeeded(self._attempt_id, self._sent_at)
         self._target.note_outcome(has_failed=False)
-        self._owner.stream_began(200, passed_on(self._head))
+        self._owner.stream_began(200, forwarded_headers(self._head))
         if self._splitter.tail:
             self._owner.event(self._splitter.tail, None)
-        self._end(AttemptEnd.STREAM_COMPLETE, "")
+        self._report_end(AttemptEnd.STREAM_COMPLETE, "")
 
-    def _break_off(self, reason: str) -> None:
-        self._leave()
+    def _abort(self, reason: str) -> None:
+        self._release_target()
         self._connection.close()
-        self._end(AttemptEnd.BROKEN, reason)
+        self._report_end(AttemptEnd.BROKEN, reason)
 
-    def _count(self, result: str) -> None:
+    def _count_result(self, result: str) -> None:
         self._context.metrics.count(
             "berylnotch_attempts_total",
             Label("service", self._target.listed.service),
             Label("result", result),
         )
 
-    def _leave(self) -> None:
-        self._is_over = True
+    def _release_target(self) -> None:
+        self._has_ended = True
         self._target.in_flight -= 1
         self._target.long_in_flight -= self._is_long
         if self._target.is_emptying and not self._target.long_in_flight:
             self._context.report_soon()
         self._reading.close()
 
-    def _end(
+    def _report_end(
         self,
         end: AttemptEnd,
         reason: str,
         is_lost: bool = False,
         moved: MovedRun | None = None,
     ) -> None:
-        self._count(end.value.replace(" ", "-"))
+        self._count_result(end.value.replace(" ", "-"))
         status = self._head.status if self._head else 0
         result = AttemptResult(
             self._target, end, reason, status, is_lost=is_lost, moved=moved
--- a/berylnotch/entry/choice.py
+++ b/berylnotch/entry/choice.py
@@ -1,8 +1,12 @@
-"""Choice of the target for a request.
+"""Choice of the target for a request by expected delay and prefix-cache hits.
 
-It answers this load: long prompts that share beginnings as the branches of a tree do,
-mixed with many short ones. An engine reads one prompt after the other, so a long
-prompt of which it holds little delays all that comes after; and its memory holds few.
+The load consists of long prompts, which share prefixes like the branches of a tree,
+and many short prompts. An engine processes one prompt after the other, so a long
+prompt with a small cache hit delays all prompts behind it, and the memory of an engine
+holds only a few long prompts.
+
+The home of a prompt is the engine that every router computes for it by consistent
+hashing, without communication.
 """
 
 from __future__ import annotations
@@ -12,82 +16,88 @@
 from attrs import evolve
 
 from berylnotch.entry.candidates import (
-    drawn_targets,
-    homes_by_weights,
-    near_targets,
-    ring_source,
+    homes_by_version,
+    long_prompt_candidates,
+    ring_copy_source,
+    sampled_targets,
 )
 from berylnotch.entry.model import Choice, Placing
 from berylnotch.entry.pricing import Holders, begins_in_time, price, priced, worth_ms
 from berylnotch.entry.targets import Target
 from berylnotch.placement.mixing import mix
 
-#: Cost of a copy, beside its transfer, in ms for 1,000 tokens: it displaces another
-#: prompt.
-COPY_MS_PER_K = 6.0
+#: Cost of a copy in addition to its transfer, in ms for 1,000 tokens: the copy evicts
+#: another prompt.
+COPY_COST_MS_PER_1K = 6.0
 
-#: Cost, in ms for 1,000 tokens, of reading a shared prompt that another engine has
-#: read or reads: it takes the time of that many other prompts.
-READ_AGAIN_MS_PER_K = 240.0
+#: Cost, in ms for 1,000 tokens, of processing a shared prefix that another engine has
+#: processed or is processing: it takes the time of as many tokens of other prompts.
+REPROCESSING_COST_MS_PER_1K = 240.0
 
-#: Advantage, in ms, of the engine that all routers compute as home of a prompt
-#: which none holds.
-HOME_MS = 80.0
+#: Cost reduction, in ms, for the home of a prompt while the home still has to process
+#: shared tokens of the prompt.
+HOME_BONUS_MS = 80.0
 
-#: Shared tokens of a short prompt from which it has a home too.
+#: Number of shared tokens from which a short prompt has a home too.
 MIN_AFFINITY_TOKENS = 128
 
-#: Cost of reading the shared parts of a short prompt elsewhere than at its home, in ms
-#: for 1,000 tokens: where the home has not read them yet, it does so again later.
-AWAY_MS_PER_K = 120.0
+#: Cost, in ms for 1,000 tokens, of processing the shared prefix of a short prompt at an
+#: engine other than its home: if the home has not processed the prefix yet, it
+#: processes it again later.
+OFF_HOME_COST_MS_PER_1K = 120.0
 
 
 def choose(targets: Collection[Target], placing: Placing) -> Choice | None:
-    """Return the target with the least expected delay, or None.
+    """Return the target with the lowest expected cost, None if no target is usable.
 
-    A long prompt that no engine holds goes to an engine that every router computes
-    alike, so that it is read once. Later requests follow the longest run of its parts,
-    and the queue of unread prompts moves them on to other engines, which copy it.
+    A long prompt that no engine holds goes to its home, so that it is processed once.
+    Later requests go to the engine that holds the longest prefix of the prompt. As the
+    prompt queue of that engine grows, they go to other engines, which copy the prefix.
     """
     if not placing.chain.has_home:
-        return _choose_anywhere(targets, placing)
-    home, usable = near_targets(targets, placing)
+        return _choose_for_short_prompt(targets, placing)
+    home, usable = long_prompt_candidates(targets, placing)
     holders = Holders(usable, placing)
     choices = [price(t, placing, holders) for t in usable]
     choices = [c for c in choices if begins_in_time(c, placing)]
 
     def cost_ms(choice: Choice) -> float:
-        cost = worth_ms(choice, placing) + COPY_MS_PER_K * choice.copied / 1000
-        cost += READ_AGAIN_MS_PER_K * choice.read_again / 1000
-        is_first = choice.target is home and choice.unread > holders.own_tokens
-        return cost - HOME_MS if is_first else cost
+        cost = worth_ms(choice, placing) + COPY_COST_MS_PER_1K * choice.copied / 1000
+        cost += REPROCESSING_COST_MS_PER_1K * choice.read_again / 1000
+        has_home_bonus = choice.target is home and choice.unread > holders.own_tokens
+        return cost - HOME_BONUS_MS if has_home_bonus else cost
 
     return min(choices, key=lambda c: (cost_ms(c), c.target is not home), default=None)
 
 
-def _choose_anywhere(targets: Collection[Target], placing: Placing) -> Choice | None:
-    """Return the best target for a request that belongs to no engine, or None.
+def _choose_for_short_prompt(
+    targets: Collection[Target], placing: Placing
+) -> Choice | None:
+    """Return the best target for a request without a long shared prefix, or None.
 
-    A short prompt has a home that all routers compute alike from its shared parts,
-    among the engines with the same weights. Other engines copy from it, whether it
-    holds them or not: to ask costs less than to read, and nobody needs to be told.
+    The home of a short prompt is computed from its shared parts among the engines with
+    the same weights. Other engines try to copy the shared parts from the home, whether
+    it holds them or not: a failed attempt costs less than processing the parts, and
+    routers need not exchange notes about short prompts.
     """
-    usable = drawn_targets(targets, placing)
+    usable = sampled_targets(targets, placing)
     homes: dict[int | None, Target] = {}
     if placing.model and placing.chain.shared_tokens >= MIN_AFFINITY_TOKENS:
-        homes = homes_by_weights(targets, placing)
-        known = {target.target_id for target in usable}
-        usable += [t for t in homes.values() if t.target_id not in known]
+        homes = homes_by_version(targets, placing)
+        included_ids = {target.target_id for target in usable}
+        usable += [t for t in homes.values() if t.target_id not in included_ids]
     unread, costs = placing.prompt_tokens, placing.costs
     choices = [
         priced(t, placing, costs.read_ms(unread, t.load), unread=unread) for t in usable
     ]
     choices = [c for c in choices if begins_in_time(c, placing)]
-    away_ms = AWAY_MS_PER_K * placing.chain.shared_tokens / 1000
+    off_home_ms = OFF_HOME_COST_MS_PER_1K * placing.chain.shared_tokens / 1000
 
     def cost_ms(choice: Choice) -> float:
         home = homes.get(choice.target.version(placing.model), choice.target)
-        return worth_ms(choice, placing) + (away_ms if home is not choice.target else 0)
+        return worth_ms(choice, placing) + (
+            off_home_ms if home is not choice.target else 0
+        )
 
     best = min(
         choices,
@@ -96,11 +106,11 @@
     )
     if best is None or not homes:
         return best
-    return evolve(best, source=ring_source(targets, placing, best.target))
+    return evolve(best, source=ring_copy_source(targets, placing, best.target))
 
 
 def usable_in_s(targets: Iterable[Target], placing: Placing) -> float | None:
-    """Return seconds until the first target may be usable, None if unknown."""
+    """Return the seconds until a target may be usable, None if there is no target."""
     times = [
         target.usable_at(placing.now)
         for target in targets
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -1,4 +1,4 @@
-"""What the exchanges of a router share."""
+"""State that all requests of a router share."""
 
 from __future__ import annotations
 
@@ -31,11 +31,13 @@
 from berylnotch.util.loop import Loop
 from berylnotch.util.metrics import Metrics
 
-#: Routers among which the slack of retries is shared until their number is known: that
-#: of a middle-sized fleet, as all may start again at the same moment.
-ASSUMED_ROUTERS = 24
+#: Number of routers among which the fleet's retry slack is divided until the number of
+#: routers is known: the number in a medium-sized fleet, because all routers may restart
+#: at the same moment.
+ASSUMED_ROUTER_COUNT = 24
 
-#: Own notes that are remembered: more than a router makes until they come back.
+#: Number of this router's own prompt notes that are remembered: more than a router
+#: writes until the leader sends them back.
 MAX_OWN_NOTES = 64
 
 
@@ -46,45 +48,47 @@
     Parameters
     ----------
     settings : EntrySettings
-        Time limits.
+        Settings of the request path.
     fleet : FleetSettings
         Settings of the process.
     loop : Loop
-        Loop in which everything runs.
+        Event loop of the router.
     log : EventLog
         Log of the process.
     metrics : Metrics
         Counters and histograms.
     targets : TargetTable
-        Targets and connections.
+        Targets and the connections to them.
     gate : QuotaGate
-        Limits of the organisations.
+        Rate limits of the organisations.
     prompts : PromptMemory
         Prompts that engines and stores probably hold.
     crashes : CrashGuard
-        Requests that crash targets.
+        Guard against requests that crash targets.
     losses : SharedLosses
-        Losses of targets that other routers saw.
+        Target losses that other routers reported.
     crash_marks : list of CrashMark
-        Losses for the next report to the leader.
+        Target losses for the next report to the leader.
     routes : RouteTable or None
-        Configuration in force, None before the first.
+        Configuration in force, None before the first configuration arrives.
     names : WeightsNames
         Named versions of weights.
     down_stores : frozenset of str
-        Stores that cannot be reached.
+        Addresses of the stores that cannot be reached.
     router_count : int
-        Routers that take requests.
+        Number of routers that accept requests.
     is_roster_known : bool
-        Whether a leader has told how many there are.
+        Whether a leader has sent the number of routers.
     loaded_targets : set of str
-        Targets that the newest sums of loads named.
+        Identities of the targets whose loads from other routers or suspect states were
+        set by the newest updates.
     ask_quota : callable
-        Asks the quota owner soon.
+        Schedules a request for tokens to the quota owner.
     report_soon : callable
-        Reports to the leader sooner than usual.
+        Schedules the next report to the leader earlier than its regular time.
     own_notes : deque of tuple
-        Echoes of this router's newest notes; the leader sends them to it as well.
+        Identifying fields of this router's newest prompt notes. The leader sends the
+        notes back to their author as well, and the router skips these copies.
     """
 
     settings: EntrySettings
@@ -111,7 +115,7 @@
     _meters: dict[str, CostMeter] = field(factory=dict)
 
     def budget(self, service: str) -> WindowBudget:
-        """Return the retry budget of a service, at this router."""
+        """Return this router's retry budget for a service."""
         budget = self._budgets.get(service)
         if budget is None:
             window_s = self.fleet.bounds.retry_window_s
@@ -120,26 +124,26 @@
         return budget
 
     def meter(self, service: str) -> CostMeter:
-        """Return what was measured of a service's engines."""
+        """Return the meter of a service's engines, with their measured times."""
         return self._meters.setdefault(service, CostMeter())
 
     def costs(self, service: Service) -> EngineCosts:
-        """Return the times of a service's engines, as measured and as configured."""
+        """Return the measured and the configured costs of a service's engines."""
         meter, engine = self.meter(service.name), service.engine
         if engine is None:
             return EngineCosts()
         store_mbps = max((s.store_link_mbps for s in self.routes.stores), default=0.0)
-        copy = engine.tokens_per_ms(engine.link_mbps)
-        store = engine.tokens_per_ms(min(store_mbps, engine.link_mbps))
+        copy_per_ms = engine.tokens_per_ms(engine.link_mbps)
+        store_per_ms = engine.tokens_per_ms(min(store_mbps, engine.link_mbps))
         return EngineCosts(
             meter.token_ms,
             meter.base_ms,
-            copy or DEFAULT_COPY_PER_MS,
-            store or DEFAULT_STORE_PER_MS,
+            copy_per_ms or DEFAULT_COPY_PER_MS,
+            store_per_ms or DEFAULT_STORE_PER_MS,
         )
 
-    def lost_target(self, target_id: str, fingerprint: bytes) -> None:
-        """Note that a target was lost while it ran a request."""
+    def record_target_loss(self, target_id: str, fingerprint: bytes) -> None:
+        """Record that a target was lost while it ran a request."""
         now = boot_time()
         verdict = self.crashes.lost(now, target_id, (fingerprint,), self.losses)
         for reported in verdict.reported:
@@ -150,34 +154,34 @@
             )
 
     def cache_tokens(self, target: Target) -> int:
-        """Return the tokens that an engine's memory holds, 0 if it is no engine."""
+        """Return the cache capacity of an engine in tokens, 0 for a plain target."""
         service = self.routes.service(target.listed.service) if self.routes else None
         if service is None or service.engine is None:
             return 0
         return service.engine.cache_tokens
 
     def budgets_left(self) -> dict[str, float]:
-        """Return the retries that each service's budget allows now."""
+        """Return the number of retries that each service's budget allows now."""
         now = boot_time()
         return {service: b.balance(now) for service, b in self._budgets.items()}
 
     def resize_budgets(self, router_count: int) -> None:
-        """Share the fleet's slack between this many routers."""
+        """Divide the fleet's retry slack among a number of routers."""
         self.router_count = max(1, router_count)
         self.is_roster_known = True
         for budget in self._budgets.values():
             budget.resize(self._retry_settings())
 
     def _retry_settings(self) -> RetrySettings:
-        bounds, part = self.fleet.bounds, self.settings.retry_part
+        bounds, fraction = self.fleet.bounds, self.settings.retry_part
         routers = self.router_count
         if not self.is_roster_known:
-            routers = max(routers, ASSUMED_ROUTERS)
+            routers = max(routers, ASSUMED_ROUTER_COUNT)
         share = bounds.retry_slack / routers
-        # Less than one retry would need many requests before the first.
-        reserve = max(share * part, min(1.0, share))
+        # With a reserve below one retry, the first retry would need many requests.
+        reserve = max(share * fraction, min(1.0, share))
         return RetrySettings(
             max_attempts=self.settings.max_sends,
-            ratio=bounds.retry_ratio * part,
+            ratio=bounds.retry_ratio * fraction,
             reserve=reserve,
         )
--- a/berylnotch/entry/crash_trail.py
+++ b/berylnotch/entry/crash_trail.py
@@ -1,4 +1,4 @@
-"""At which targets one request runs, for the guard against requests that crash them."""
+"""Reports of one request's attempts to the crash guard."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from berylnotch.util.clock import boot_time
 
 
-class CrashTrail:
-    """One request as the guard of a router sees it.
+class CrashTracker:
+    """Tells the crash guard which target runs a request and how the attempts end.
+
+    The crash guard refuses requests that crash the targets that run them.
 
     Parameters
     ----------
@@ -29,32 +31,32 @@
 
     @property
     def target_id(self) -> str:
-        """Target that runs the request, empty if none does."""
+        """Identity of the target that runs the request, empty if none does."""
         return self._target_id
 
     @property
     def is_refused(self) -> bool:
-        """Whether so many targets were lost with it that it must not run again."""
+        """Whether too many targets were lost while they ran the request."""
         context = self._context
         return context.crashes.is_refused(
             boot_time(), self._fingerprint, context.losses
         )
 
-    def began(self, target_id: str) -> None:
-        """Note that a target gets the request."""
+    def on_sent(self, target_id: str) -> None:
+        """Record that the request is sent to a target."""
         self._target_id = target_id
         self._context.crashes.began(self._fingerprint, target_id)
 
-    def lost(self, target_id: str) -> None:
-        """Note that a target was lost while it ran the request."""
-        self._context.lost_target(target_id, self._fingerprint)
+    def on_target_lost(self, target_id: str) -> None:
+        """Record that a target was lost while it ran the request."""
+        self._context.record_target_loss(target_id, self._fingerprint)
 
-    def completed(self) -> None:
-        """Note that the request ran without a loss."""
+    def on_completed(self) -> None:
+        """Record that the request completed without the loss of its target."""
         self._context.crashes.completed(self._fingerprint, boot_time())
 
-    def ended(self) -> None:
-        """Note that no target runs the request any more."""
+    def on_attempt_end(self) -> None:
+        """Record that no target runs the request any more."""
         if self._target_id:
             self._context.crashes.ended(self._fingerprint, self._target_id)
             self._target_id = ""
--- a/berylnotch/entry/early.py
+++ b/berylnotch/entry/early.py
@@ -1,9 +1,9 @@
-"""Requests that come to a router before it knows the configuration and the targets.
+"""Buffer for requests that arrive before the configuration and the target list.
 
-It answers this load: all processes start again at the same moment, callers return at
-once, and the configuration follows some tenths of a second later. A request that is
-kept for so long is served sooner than one that is told to come back, and its caller
-keeps the retry.
+It serves a restart of all processes at the same moment: callers reconnect at once,
+and the configuration arrives some tenths of a second later. A buffered request is
+served sooner than a request that is refused with a retry delay, and its caller does
+not spend a retry.
 """
 
 from __future__ import annotations
@@ -17,45 +17,48 @@
 from berylnotch.util.clock import boot_time
 from berylnotch.util.loop import Loop
 
-#: Most requests that are kept, with their bodies; more are refused.
-MAX_KEPT = 256
+#: Maximum number of requests that are buffered with their bodies. Further requests are
+#: refused.
+MAX_BUFFERED = 256
 
-#: Part of the time that a caller waits for which its request is kept at the most.
-KEPT_PART = 0.4
+#: Longest time in the buffer, as a fraction of the time that the caller waits.
+MAX_BUFFERED_FRACTION = 0.4
 
-#: Takes a request that is not kept any longer.
-Answer = Callable[[ServerConnection, HttpRequest], None]
+#: Handles a request that leaves the buffer.
+RequestHandler = Callable[[ServerConnection, HttpRequest], None]
 
 
 @define(eq=False)
-class _Kept:
-    """A request that waits."""
+class _BufferedRequest:
+    """A buffered request and the connection of its caller."""
 
     connection: ServerConnection
     request: HttpRequest
 
 
 class EarlyRequests:
-    """Keeps requests for a bounded time, and hands them on in the order they came.
+    """Buffers requests for a bounded time and releases them in order of arrival.
 
     Parameters
     ----------
     loop : Loop
-        Loop in which everything runs.
-    until : float
-        Boot time until which requests are kept.
-    answer : callable
-        Serves a request by what is known, or refuses it.
+        Event loop of the router.
+    buffer_until : float
+        Boot time, in seconds, until which requests are buffered.
+    handle_request : callable
+        Serves a released request with the configuration in force, or refuses it.
     """
 
-    def __init__(self, loop: Loop, until: float, answer: Answer) -> None:
+    def __init__(
+        self, loop: Loop, buffer_until: float, handle_request: RequestHandler
+    ) -> None:
         self._loop = loop
-        self._until = until
-        self._answer = answer
-        self._kept: list[_Kept] = []
+        self._buffer_until = buffer_until
+        self._handle_request = handle_request
+        self._entries: list[_BufferedRequest] = []
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._entries)
 
     def keep(
         self,
@@ -63,37 +66,47 @@
         request: HttpRequest,
         deadline_s: float | None,
     ) -> bool:
-        """Keep a request; return whether there is time and room for it.
+        """Buffer a request, if its deadline and the size of the buffer allow it.
 
         Parameters
         ----------
+        connection : ServerConnection
+            Connection of the caller. If the caller disconnects, the request is
+            discarded.
+        request : HttpRequest
+            Request to buffer.
         deadline_s : float or None
-            How long the caller waits, None if it did not say.
+            Seconds for which the caller waits, None if the request has no deadline.
+
+        Returns
+        -------
+        bool
+            Whether the request was buffered.
         """
         now = boot_time()
-        until = self._until
+        until = self._buffer_until
         if deadline_s is not None:
-            until = min(until, request.received_at + KEPT_PART * deadline_s)
-        if now >= until or len(self._kept) >= MAX_KEPT:
+            until = min(until, request.received_at + MAX_BUFFERED_FRACTION * deadline_s)
+        if now >= until or len(self._entries) >= MAX_BUFFERED:
             return False
-        kept = _Kept(connection, request)
-        self._kept.append(kept)
-        connection.on_gone = lambda: self._forget(kept)
-        self._loop.call_later(until - now, lambda: self._hand_on(kept))
+        entry = _BufferedRequest(connection, request)
+        self._entries.append(entry)
+        connection.on_gone = lambda: self._discard(entry)
+        self._loop.call_later(until - now, lambda: self._release(entry))
         return True
 
     def hand_on(self) -> None:
-        """Let all be answered that are kept, and whose callers have not left."""
-        for kept in tuple(self._kept):
-            self._hand_on(kept)
+        """Release all buffered requests to the request handler."""
+        for entry in tuple(self._entries):
+            self._release(entry)
 
-    def _hand_on(self, kept: _Kept) -> None:
-        if self._forget(kept):
-            kept.connection.on_gone = None
-            self._answer(kept.connection, kept.request)
+    def _release(self, entry: _BufferedRequest) -> None:
+        if self._discard(entry):
+            entry.connection.on_gone = None
+            self._handle_request(entry.connection, entry.request)
 
-    def _forget(self, kept: _Kept) -> bool:
-        if kept not in self._kept:
+    def _discard(self, entry: _BufferedRequest) -> bool:
+        if entry not in self._entries:
             return False
-        self._kept.remove(kept)
+        self._entries.remove(entry)
         return True
--- a/berylnotch/entry/events.py
+++ b/berylnotch/entry/events.py
@@ -1,4 +1,4 @@
-"""Whole events out of a stream's bytes, which are handed on unchanged."""
+"""Splitter of a server-sent event stream into whole events with unchanged bytes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-#: Largest event that is held back until it is whole, in bytes.
+#: Maximum size, in bytes, of an incomplete event that is buffered.
 MAX_EVENT_BYTES = 1024 * 1024
 
 _BOUNDARY = re.compile(rb"\r?\n\r?\n")
@@ -17,39 +17,49 @@
 
 @frozen
 class StreamEvent:
-    """An event as it came, and its number, or None if it has none."""
+    """An event of a stream.
+
+    Parameters
+    ----------
+    data : bytes
+        Unchanged bytes of the event with its boundary.
+    number : int or None
+        Numeric ``id`` field of the event, None if it has none.
+    """
 
     data: bytes
     number: int | None
 
     @property
     def is_progress(self) -> bool:
-        """Whether it holds something for the caller, not a comment alone."""
+        """Whether the event has an id or data, so that it is not only a comment."""
         return self.number is not None or _DATA.search(self.data) is not None
 
 
 class EventSplitter:
-    """Cuts a stream into events, however its bytes were cut before."""
+    """Splits a stream into events, independent of how the network splits its bytes."""
 
     def __init__(self) -> None:
         self._tail = b""
 
     @property
     def tail(self) -> bytes:
-        """Bytes of an event that is not yet whole."""
+        """Bytes of the last, still incomplete event."""
         return self._tail
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that these bytes complete."""
-        # A boundary may have begun in the bytes before, which hold no whole one.
-        searched = max(0, len(self._tail) - _BOUNDARY_BYTES)
+        """Add received bytes, and return the events that they complete."""
+        # The earlier bytes hold no whole boundary, but one may have begun in them.
+        search_from = max(0, len(self._tail) - _BOUNDARY_BYTES)
         self._tail += data
         events = []
         start = 0
-        for match in _BOUNDARY.finditer(self._tail, searched):
-            part = self._tail[start : match.end()]
-            found = _ID.search(part)
-            events.append(StreamEvent(part, int(found[1]) if found else None))
+        for match in _BOUNDARY.finditer(self._tail, search_from):
+            event_data = self._tail[start : match.end()]
+            id_match = _ID.search(event_data)
+            events.append(
+                StreamEvent(event_data, int(id_match[1]) if id_match else None)
+            )
             start = match.end()
         self._tail = self._tail[start:]
         return events
--- a/berylnotch/entry/exchange.py
+++ b/berylnotch/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller: charge, choice, attempts, answer."""
+"""Processing of one caller request: rate limit, target choice, attempts, response."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from berylnotch.entry.attempt import Attempt
 from berylnotch.entry.choice import choose, usable_in_s
 from berylnotch.entry.context import EntryContext
-from berylnotch.entry.crash_trail import CrashTrail
+from berylnotch.entry.crash_trail import CrashTracker
 from berylnotch.entry.model import Choice, Placing
 from berylnotch.entry.moving import MovedRun
 from berylnotch.entry.placing import make_placing, make_told
@@ -38,29 +38,29 @@
 from berylnotch.util.loop import Timer
 from berylnotch.util.metrics import Label
 
-#: Engine answers that show a failure of the engine, not of the request.
+#: Status codes that indicate a failure of the target, not of the request.
 _RETRIED_STATUSES = frozenset((500, 502, 503, 504, 429))
 
-#: Seconds below which it makes no sense to send a request.
-MIN_LEFT_S = 0.02
+#: Remaining time, in seconds, below which a request is not sent any more.
+MIN_SEND_TIME_S = 0.02
 
-#: Seconds below which a slow request stays where it is.
-MIN_MOVE_S = 0.15
+#: Remaining time, in seconds, below which a slow request stays at its target.
+MIN_RETRY_TIME_S = 0.15
 
 
 class Exchange:
-    """Serves one request from its admission to its answer.
+    """Processes one request from its admission to its response.
 
     Parameters
     ----------
     context : EntryContext
         Shared state of the router.
     connection : ServerConnection
-        The caller.
+        Connection of the caller.
     admitted : Admitted
         The request.
     on_end : callable
-        Called once when the request has its answer or the caller has left.
+        Called once when the request is answered or the caller has disconnected.
     """
 
     def __init__(
@@ -75,225 +75,253 @@
         self._on_end = on_end
         self._progress = Progress()
         self._attempt: Attempt | None = None
-        self._tried: set[str] = set()
-        self._service = ""
-        self._is_over = False
+        self._tried_targets: set[str] = set()
+        self._service_name = ""
+        self._has_ended = False
         request, caller, route = admitted.request, admitted.caller, admitted.route
         limit_s = route.timeout_s
         if caller.deadline_s is not None:
             limit_s = min(limit_s, caller.deadline_s)
         self._started_at = request.received_at
         self._reply = Reply(connection, context.metrics, route.name, self._started_at)
-        connection.on_gone = self._caller_left
-        connection.on_drained = self._drained
+        connection.on_gone = self._on_caller_disconnect
+        connection.on_drained = self._on_drained
         self._deadline = request.received_at + limit_s
         self._timer: Timer | None = None
-        self._trail = CrashTrail(context, admitted)
+        self._crash_tracker = CrashTracker(context, admitted)
         self._relocation = Relocation(context, admitted)
 
-    # Facts for the log.
+    # Values for log lines and limits.
 
     @property
-    def _id(self) -> str:
+    def _request_id(self) -> str:
         return self._admitted.caller.request_id
 
     @property
-    def _left_s(self) -> float:
+    def _remaining_s(self) -> float:
         return self._deadline - boot_time()
 
     def start(self) -> None:
-        """Charge the request and send it."""
+        """Charge the request to its organisation's rate limit, and then send it."""
         grace_s = self._context.settings.deadline_grace_s
         self._timer = self._context.loop.call_later(
-            max(0.0, self._left_s) + grace_s, self._expire
+            max(0.0, self._remaining_s) + grace_s, self._expire
         )
         organisation = self._admitted.organisation
         if not is_limited(organisation):
-            self._charged(Charge.CHARGED, 0.0)
+            self._on_charge(Charge.CHARGED, 0.0)
             return
         gate = self._context.gate
         if gate.charge(
-            boot_time(), organisation.name, self._admitted.cost, self._charged
+            boot_time(), organisation.name, self._admitted.cost, self._on_charge
         ):
             self._context.ask_quota()
 
     def stop(self) -> None:
-        """Answer now, since the process ends."""
-        self._expire(Reason.STOPPING, "the router stops")
+        """Answer the request at once, because the process is stopping."""
+        self._expire(Reason.STOPPING, "the router is stopping")
 
-    def _charged(self, outcome: Charge, retry_s: float) -> None:
-        if self._is_over:
+    def _on_charge(self, outcome: Charge, retry_s: float) -> None:
+        if self._has_ended:
             return
         waited_s = boot_time() - self._started_at
         self._context.metrics.observe("berylnotch_limit_wait_seconds", waited_s)
         if outcome is Charge.OVER_LIMIT:
-            self._refuse(429, Reason.LIMIT, "over the limit", retry_s)
+            self._refuse(
+                429, Reason.LIMIT, "rate limit of the organisation exceeded", retry_s
+            )
         elif outcome is Charge.UNKNOWN:
             retry_s = self._context.settings.grant_retry_s
-            self._refuse(503, Reason.NO_GRANT, "no tokens in time", retry_s)
+            self._refuse(
+                503, Reason.NO_GRANT, "no tokens from the quota owner in time", retry_s
+            )
         else:
-            self._begin()
+            self._admit()
 
-    def _begin(self) -> None:
+    def _admit(self) -> None:
         splits = self._admitted.route.splits
-        self._service = pick_service(splits, random.random())
-        if self._trail.is_refused:
-            self._fail(502, Reason.CRASHES, "three targets were lost with it")
+        self._service_name = pick_service(splits, random.random())
+        if self._crash_tracker.is_refused:
+            self._fail(
+                502,
+                Reason.CRASHES,
+                "three targets were lost while they ran the request",
+            )
             return
-        self._context.budget(self._service).earn(boot_time())
-        self._send()
+        self._context.budget(self._service_name).earn(boot_time())
+        self._choose_and_send()
 
-    # Choice.
+    # Target choice.
 
-    def _send(self) -> None:
-        if self._is_over:
+    def _choose_and_send(self) -> None:
+        if self._has_ended:
             return
-        if self._left_s < MIN_LEFT_S:
-            self._give_up(Reason.DEADLINE, "too little time left")
+        if self._remaining_s < MIN_SEND_TIME_S:
+            self._give_up(Reason.DEADLINE, "too little time left to send the request")
             return
-        service = self._context.routes.service(self._service)
+        service = self._context.routes.service(self._service_name)
         if service is None:
-            self._give_up(Reason.NO_SERVICE, self._service)
+            self._give_up(Reason.NO_SERVICE, self._service_name)
             return
-        placing = make_placing(self._context, self._admitted, service, self._tried)
-        choice = choose(self._context.targets.of(self._service), placing)
+        placing = make_placing(
+            self._context, self._admitted, service, self._tried_targets
+        )
+        choice = choose(self._context.targets.of(self._service_name), placing)
         if choice is None:
-            wait_s = usable_in_s(self._context.targets.of(self._service), placing)
-            self._give_up(Reason.NO_TARGET, "none is usable", wait_s)
+            wait_s = usable_in_s(self._context.targets.of(self._service_name), placing)
+            self._give_up(
+                Reason.NO_TARGET, "no target of the service is usable", wait_s
+            )
             return
         if not self._progress.runs and self._admitted.is_stream:
             latency_s = self._admitted.route.target_latency_s
-            verdict = judge(choice, latency_s, self._left_s)
-            if not verdict.is_admitted:
+            decision = judge(choice, latency_s, self._remaining_s)
+            if not decision.is_admitted:
                 reason = f"first event expected after {choice.delay_ms:.0f} ms"
-                self._give_up(Reason.TOO_LATE, reason, verdict.retry_after_s)
+                self._give_up(Reason.TOO_LATE, reason, decision.retry_after_s)
                 return
         self._progress.sends += 1
-        self._tried.add(choice.target.target_id)
+        self._tried_targets.add(choice.target.target_id)
         self._send_to(service, placing, choice)
 
     def _send_to(self, service: Service, placing: Placing, choice: Choice) -> None:
-        """Send the request, or what goes on of it, to a chosen target."""
+        """Send the request, or the rest of a migrated run, to a target."""
         target = choice.target
-        told = make_told(
+        target_headers = make_told(
             self._context,
             self._admitted,
             service,
             placing,
             choice,
-            self._left_s,
+            self._remaining_s,
             self._reply.last_event,
             self._relocation.origin,
         )
-        self._trail.began(target.target_id)
-        note_sent(self._context, self._admitted, placing, choice, told, self._progress)
-        self._attempt = Attempt(self._context, choice, self._admitted, told, self)
+        self._crash_tracker.on_sent(target.target_id)
+        note_sent(
+            self._context,
+            self._admitted,
+            placing,
+            choice,
+            target_headers,
+            self._progress,
+        )
+        self._attempt = Attempt(
+            self._context, choice, self._admitted, target_headers, self
+        )
         self._attempt.start()
 
-    # What the attempt reports.
+    # Callbacks of the attempt.
 
     def stream_began(self, status: int, headers: object) -> None:
-        """Send the head of a stream to the caller, of its first target only."""
+        """Send the head of a stream to the caller, unless the caller has one already."""
         self._reply.begin_stream(status, headers)
 
     def event(self, data: bytes, number: int | None) -> None:
-        """Send an event to the caller, unless it has it already."""
+        """Send an event to the caller, unless the caller already has it."""
         self._reply.send_event(data, number)
         if self._reply.is_congested and self._attempt is not None:
             self._attempt.pause()
 
     def may_move(self) -> bool:
-        """Tell whether another target and the budget allow one more attempt."""
+        """Tell whether time, limits, budget and targets allow one more attempt."""
         has_attempts = self._progress.runs + 1 < self._admitted.route.max_attempts
-        has_budget = self._context.budget(self._service).has_room(boot_time())
-        has_time = self._left_s > MIN_MOVE_S
+        has_budget = self._context.budget(self._service_name).has_room(boot_time())
+        has_time = self._remaining_s > MIN_RETRY_TIME_S
         return has_attempts and has_budget and has_time and self._has_other_target()
 
     def refuge(self, without_room: Collection[str]) -> Target | None:
-        """Return the engine at which the run should go on, None if it stays."""
-        if self._reply.last_event is None or self._left_s < MIN_REST_S:
+        """Return the engine that the run should migrate to, None if it stays."""
+        if self._reply.last_event is None or self._remaining_s < MIN_REST_S:
             return None
-        source = self._context.targets.get(self._trail.target_id)
-        excluded = {*self._tried, *without_room}
-        return self._relocation.refuge(self._service, source, excluded)
-
-    def _go_on(self, moved: MovedRun, target: Target) -> None:
-        """Send what goes on of a stopped run to an engine that has its memory."""
-        service = self._context.routes.service(self._service)
-        if service is None or self._left_s <= 0:
+        source = self._context.targets.get(self._crash_tracker.target_id)
+        excluded = {*self._tried_targets, *without_room}
+        return self._relocation.refuge(self._service_name, source, excluded)
+
+    def _continue_run(self, moved: MovedRun, target: Target) -> None:
+        """Send the rest of a stopped run to the engine that has its KV cache."""
+        service = self._context.routes.service(self._service_name)
+        if service is None or self._remaining_s <= 0:
             reason = Reason.NO_SERVICE if service is None else Reason.DEADLINE
-            self._fail(502, reason, "its run was stopped to move")
+            self._fail(
+                502, reason, "the run was stopped for a migration and cannot continue"
+            )
             return
         self._relocation.begin(moved)
-        placing = make_placing(self._context, self._admitted, service, self._tried)
+        placing = make_placing(
+            self._context, self._admitted, service, self._tried_targets
+        )
         self._send_to(service, placing, Choice(target, 0.0))
 
-    def _not_taken_over(self, moved: MovedRun, result: AttemptResult) -> None:
-        """Let a run go on where it stopped, or give it up."""
-        refused = result.target
-        if self._relocation.may_go_back(moved, self._service, refused):
-            self._note_retry(result, f"run not taken over: {result.reason}")
-            self._go_on(moved, moved.source)
+    def _on_takeover_refused(self, moved: MovedRun, result: AttemptResult) -> None:
+        """Resume a run at its source after a refused takeover, or retry the request."""
+        refusing_target = result.target
+        if self._relocation.may_go_back(moved, self._service_name, refusing_target):
+            self._record_retry(result, f"takeover of the run failed: {result.reason}")
+            self._continue_run(moved, moved.source)
             return
         self._progress.runs += 1
         self._retry(result, is_run=True)
 
     def ended(self, result: AttemptResult) -> None:
-        """Act on the end of an attempt."""
+        """Complete, continue or retry the request after the end of an attempt."""
         target = result.target
         self._attempt = None
         moved = self._relocation.end()
-        if self._is_over:
+        if self._has_ended:
             return
         if result.is_lost:
-            self._trail.lost(target.target_id)
-        self._trail.ended()
+            self._crash_tracker.on_target_lost(target.target_id)
+        self._crash_tracker.on_attempt_end()
         if result.end is AttemptEnd.MOVED:
             self._progress.moves += 1
-            self._go_on(result.moved, result.moved.refuge)
+            self._continue_run(result.moved, result.moved.refuge)
             return
         is_not_run = result.end in (AttemptEnd.NOT_RUN, AttemptEnd.NOT_REACHED)
         if is_not_run and moved is not None:
-            self._not_taken_over(moved, result)
+            self._on_takeover_refused(moved, result)
             return
         if not is_not_run:
             self._progress.runs += 1
         if result.end is AttemptEnd.STREAM_COMPLETE:
-            self._trail.completed()
+            self._crash_tracker.on_completed()
             self._reply.end_stream()
             self._finish("served", 200, target)
         elif result.end is AttemptEnd.ANSWERED:
-            self._answered(result)
+            self._on_answer(result)
         else:
             self._retry(result, is_run=not is_not_run)
 
-    def _answered(self, result: AttemptResult) -> None:
+    def _on_answer(self, result: AttemptResult) -> None:
         status, route = result.status, self._admitted.route
         if self._reply.has_head:
-            # The caller has the head of a stream; another answer cannot follow it.
+            # The caller has received the head of a stream, and a response with another
+            # status cannot follow it.
             self._retry(attrs.evolve(result, reason=f"status {status}"), is_run=True)
             return
         is_failure = status in _RETRIED_STATUSES
         may_repeat = route.is_repeatable and self._progress.runs < route.max_attempts
         if is_failure and may_repeat:
-            if self._left_s > MIN_LEFT_S and self._has_other_target():
-                if self._context.budget(self._service).spend(boot_time()):
-                    self._note_retry(result, f"status {status}")
-                    self._send()
+            if self._remaining_s > MIN_SEND_TIME_S and self._has_other_target():
+                if self._context.budget(self._service_name).spend(boot_time()):
+                    self._record_retry(result, f"status {status}")
+                    self._choose_and_send()
                     return
         if not is_failure:
-            self._trail.completed()
+            self._crash_tracker.on_completed()
         self._reply.respond(status, result.headers, result.body)
         self._finish(
             "served" if status < 400 else "target_failed", status, result.target
         )
 
     def _has_other_target(self) -> bool:
-        service = self._context.routes.service(self._service)
+        service = self._context.routes.service(self._service_name)
         if service is None:
             return False
-        placing = make_placing(self._context, self._admitted, service, self._tried)
-        return choose(self._context.targets.of(self._service), placing) is not None
+        placing = make_placing(
+            self._context, self._admitted, service, self._tried_targets
+        )
+        return choose(self._context.targets.of(self._service_name), placing) is not None
 
     def _retry(self, result: AttemptResult, is_run: bool) -> None:
         """Send the request to another target, or give up."""
@@ -307,27 +335,30 @@
         if progress.sends >= self._context.settings.max_sends:
             self._give_up(Reason.ALL_REFUSED, f"{progress.sends} times: {reason}")
         elif result.end is AttemptEnd.NOT_REACHED:
-            # The budget counts what arrives at targets, and this did not.
-            self._note_retry(result, reason)
-            self._send()
-        elif not self._context.budget(self._service).spend(boot_time()):
+            # The retry budget counts only requests that arrive at targets.
+            self._record_retry(result, reason)
+            self._choose_and_send()
+        elif not self._context.budget(self._service_name).spend(boot_time()):
             self._give_up(Reason.BUDGET, reason)
         else:
-            self._note_retry(result, reason)
-            self._send()
+            self._record_retry(result, reason)
+            self._choose_and_send()
 
-    def _note_retry(self, result: AttemptResult, reason: str) -> None:
+    def _record_retry(self, result: AttemptResult, reason: str) -> None:
         last_event = self._reply.last_event
         note_retry(
             self._context, self._admitted, self._progress, result, reason, last_event
         )
 
-    # Ends without an answer of a target.
+    # Ends without a response from a target.
 
     def _give_up(
         self, reason: Reason, detail: str, wait_s: float | None = None
     ) -> None:
-        """End a request that cannot be sent any more."""
+        """End a request that cannot be sent any more.
+
+        A request that no target ran is refused, any other one fails.
+        """
         if self._progress.runs or self._reply.has_head:
             self._fail(502, reason, detail)
         else:
@@ -336,43 +367,45 @@
     def _refuse(
         self, status: int, reason: Reason, detail: str, retry_s: float | None
     ) -> None:
-        """Answer that the request has not run and will not."""
+        """Respond that the request has not run and will not run."""
         if retry_s is None:
             retry_s = self._context.settings.retry_after_s
-        self._respond_own(status, reason, detail, retry_s)
+        self._respond_with_error(status, reason, detail, retry_s)
 
     def _fail_run(self, reason: str, result: AttemptResult) -> None:
-        status = 504 if self._left_s <= 0 else 502
+        status = 504 if self._remaining_s <= 0 else 502
         detail = f"{result.target.target_id}: {reason}"
         self._fail(status, Reason.TARGET_LOST, detail)
 
     def _fail(self, status: int, reason: Reason, detail: str) -> None:
-        """Answer that the outcome is unknown, or break a begun stream off."""
+        """Respond that the outcome is unknown, or abort a stream that has begun."""
         if self._reply.has_head:
             self._reply.break_off()
-            self._note_own(reason)
+            self._count_refusal(reason)
             self._finish("broken_off", 0, None, f"{reason.value}: {detail}")
             return
-        self._respond_own(status, reason, detail, None)
+        self._respond_with_error(status, reason, detail, None)
 
-    def _note_own(self, reason: Reason) -> None:
+    def _count_refusal(self, reason: Reason) -> None:
         self._context.metrics.count(
             "berylnotch_refusals_total", Label("reason", reason.value)
         )
 
-    def _respond_own(
+    def _respond_with_error(
         self, status: int, reason: Reason, detail: str, retry_s: float | None
     ) -> None:
-        headers = refusal_headers(self._id, retry_s)
+        headers = refusal_headers(self._request_id, retry_s)
         self._reply.respond(status, headers)
-        self._note_own(reason)
+        self._count_refusal(reason)
         outcome = "refused" if status in (429, 503) else "failed"
         self._finish(outcome, status, None, f"{reason.value}: {detail}")
 
     def _expire(
-        self, reason: Reason = Reason.DEADLINE, detail: str = "no answer in time"
+        self,
+        reason: Reason = Reason.DEADLINE,
+        detail: str = "no response before the deadline",
     ) -> None:
-        if self._is_over:
+        if self._has_ended:
             return
         has_sent = self._attempt is not None and self._attempt.has_sent
         if self._attempt is not None:
@@ -382,8 +415,8 @@
         else:
             self._refuse(503, reason, f"not sent: {detail}", None)
 
-    def _caller_left(self) -> None:
-        if self._is_over:
+    def _on_caller_disconnect(self) -> None:
+        if self._has_ended:
             return
         waited_s = boot_time() - self._started_at
         target_latency_s = self._admitted.route.target_latency_s
@@ -391,16 +424,16 @@
             self._attempt.cancel(is_overdue=waited_s > 3 * target_latency_s)
         self._finish("caller_left", 0, None)
 
-    def _drained(self) -> None:
+    def _on_drained(self) -> None:
         if self._attempt is not None:
             self._attempt.resume()
 
     def _finish(
         self, outcome: str, status: int, target: Target | None, reason: str = ""
     ) -> None:
-        self._is_over = True
+        self._has_ended = True
         self._attempt = None
-        self._trail.ended()
+        self._crash_tracker.on_attempt_end()
         if self._timer is not None:
             self._timer.cancel()
         end = RequestEnd(
@@ -410,7 +443,7 @@
             reason,
             self._reply.first_event_s,
             boot_time() - self._started_at,
-            self._left_s,
+            self._remaining_s,
         )
         note_end(self._context, self._admitted, self._progress, end)
         self._on_end(self)
--- a/berylnotch/entry/judging.py
+++ b/berylnotch/entry/judging.py
@@ -1,4 +1,4 @@
-"""Whether the answer of a target is its whole answer to the request."""
+"""Checks whether a target's response to a request is complete."""
 
 from __future__ import annotations
 
@@ -8,45 +8,47 @@
 
 
 def is_encoded(head: ResponseHead) -> bool:
-    """Tell whether the body is in an encoding that no caller asked for."""
+    """Tell whether the body has a content encoding that no caller asked for."""
     encoding = head.headers.get("Content-Encoding").lower()
     return head.status < 300 and encoding not in ("", "identity")
 
 
-def passed_on(head: ResponseHead) -> Headers:
-    """Return the headers that a caller gets; the length is set anew."""
+def forwarded_headers(head: ResponseHead) -> Headers:
+    """Return the headers for the caller, without the length, which is set anew."""
     return head.headers.end_to_end().without(("content-length",))
 
 
-def problem_of(
+def response_problem(
     head: ResponseHead,
     answer: AnswerHead,
     stream_tail: bytes | None,
-    may_be_stopped: bool,
+    may_have_stopped: bool,
 ) -> str:
-    """Return why an answer is not the target's whole one, empty if it is.
+    """Return why a target's response is incomplete or unusable, empty if it is not.
 
     Parameters
     ----------
     head : ResponseHead
-        Head of the answer.
+        Head of the response.
     answer : AnswerHead
-        What its headers say.
+        Decoded headers of the response.
     stream_tail : bytes or None
-        What is left of a stream after its last whole event, None if it is no stream.
-    may_be_stopped : bool
-        Whether the target may have stopped the run without saying so.
+        Bytes after the last whole event of a stream, None if the response is not a
+        stream.
+    may_have_stopped : bool
+        Whether the target may have stopped the run for a migration whose outcome is
+        unknown.
     """
     if head.status >= 300:
         return ""
     if not answer.stamp:
-        return "answer without a stamp"
+        return "response has no server stamp"
     if is_encoded(head):
-        return "encoded answer"
+        return "response has a content encoding that was not requested"
     if stream_tail is not None and not head.is_delimited:
-        # The end of the connection is the end of the stream, or a loss.
+        # The closed connection means either the end of the stream or its loss.
         if stream_tail:
-            return "stream ends within an event"
-        if may_be_stopped:
-            return "stream ends, and may have been stopped"
+            return "stream ended within an event"
+        if may_have_stopped:
+            return "stream ended, possibly because its run was stopped for a migration"
     return ""
--- a/berylnotch/entry/model.py
+++ b/berylnotch/entry/model.py
@@ -1,4 +1,4 @@
-"""What a choice of a target goes by, and what it gives."""
+"""Inputs and result of the choice of a target."""
 
 from __future__ import annotations
 
@@ -14,56 +14,59 @@
 
 @frozen
 class Placing:
-    """What a choice goes by.
+    """Inputs of the choice of a target for one request.
 
     Parameters
     ----------
     now : float
-        Boot time.
+        Boot time, in seconds.
     model : str
         Model of the request, empty for plain services.
     wanted_version : int
         Newest named version of the model's weights.
     outdated_s : callable
-        Returns for how long there is a newer version than a given one, in seconds.
+        Returns the seconds for which a newer version than the given one has existed.
     fresh_s : float
-        Such a time up to which the older weights are as good.
+        Longest time since a newer version exists, in seconds, for which older weights
+        have no extra cost.
     stale_s : float
-        Such a time from which no request may begin on the older weights.
+        Time since a newer version exists, in seconds, from which no request may begin
+        on the older weights.
     target_latency_s : float
-        Time in which the first event should come.
+        Time within which the first event should arrive, in seconds; 0 for no target.
     chain : Chain
-        What the prompt shares with others.
+        Shared prefixes of the prompt.
     prompt_tokens : int
-        Tokens of the whole prompt.
+        Number of tokens of the whole prompt.
     wait_part : float
-        Part of the queue at an engine that the request waits for; engines admit urgent
-        ones before the others.
+        Fraction of an engine's queue that is processed before the request. Engines
+        admit urgent requests before the others.
     overshoot_ms : float
-        Time by which first events came later than expected, at worst.
+        Longest recent time, in ms, by which first events arrived later than expected.
     failure_domain : str
-        Where the router is.
+        Failure domain of the router.
     excluded : collection of str
-        Targets that must not be chosen.
+        Identities of the targets that must not be chosen.
     sample : int
-        Targets that are compared, 0 for all. With many routers, whose knowledge of
-        each other is some tenths of a second old, all would choose the same best
-        one at the same time.
+        Number of targets to compare, 0 for all. Many routers whose information about
+        each other is some tenths of a second old would all choose the same best
+        target at the same time if each compared all targets.
     draw : callable
-        Returns a random number below a given one.
+        Returns a random integer from 0 up to, but not including, its argument.
     run : callable
         Returns the levels of the chain that a target probably holds.
     holders : callable
-        Returns the targets that may hold a level or read it.
+        Returns the targets that probably hold or are processing a level.
     saved : callable
-        Returns how many levels a store probably holds, for use by a target.
+        Returns the number of levels that a store probably holds for the weights of a
+        target.
     walk : callable or None
-        Returns the targets in the order that a key decides, alike at all routers;
-        None to compare their hashes.
+        Returns the targets in the order of a key on the consistent-hash ring, which is
+        the same at all routers. With None the hashes of the targets are compared.
     weights_samples : callable
-        Returns a target for each set of weights that is in use.
+        Returns one target for each set of weights that is in use.
     costs : EngineCosts
-        Times of the engines.
+        Processing and transfer costs of the engines.
     """
 
     now: float
@@ -91,26 +94,29 @@
 
 @frozen
 class Choice:
-    """A chosen target.
+    """A target with its expected delay and the plan for the prompt.
 
     Parameters
     ----------
     target : Target
-        Where the request goes.
+        Target that the request is sent to.
     delay_ms : float
-        Expected time until it has read the prompt.
+        Expected time, in ms, until the target has processed the prompt or, for a plain
+        target, has responded.
     queue_ms : float
-        Part of it that prompts before this one take, if nothing goes before them.
+        Time, in ms, that the target needs for the prompts queued there, if no urgent
+        request overtakes them. The request waits for a fraction of it.
     drawback_ms : float
-        What speaks against the target beside the delay, as a delay.
+        Disadvantages of the target other than the delay, expressed in ms.
     source : Target or None
-        Engine from which it takes what it does not hold, if a ready one does.
+        Engine from which the target copies the prefix that it does not hold.
     unread : int
-        Prompt tokens that it probably has to read.
+        Prompt tokens that the target probably has to process.
     copied : int
-        Shared tokens that it takes over from another engine.
+        Shared tokens that the target copies from another engine.
     read_again : int
-        Shared tokens that it reads though another engine holds them.
+        Shared tokens that the target processes although another engine holds or is
+        processing them.
     """
 
     target: Target
--- a/tests/test_entry/conftest.py
+++ b/tests/test_entry/conftest.py
@@ -1,4 +1,4 @@
-"""The shared state of a router's request path, without a network."""
+"""Fixture for the shared state of a router's request path, without a network."""
 
 from types import SimpleNamespace
 
@@ -28,7 +28,7 @@
 def context():
     settings, loop = EntrySettings(), Loop("test")
     bounds = FleetBounds()
-    made = EntryContext(
+    entry_context = EntryContext(
         settings=settings,
         fleet=SimpleNamespace(bounds=bounds, failure_domain="north"),
         loop=loop,
@@ -41,13 +41,13 @@
     )
     values = configuration(3)
     del values["tenants"]
-    made.routes = RouteTable(decode_configuration(encode(values)))
+    entry_context.routes = RouteTable(decode_configuration(encode(values)))
     models = (ModelVersion("model-1", 1),)
-    made.targets.update(
+    entry_context.targets.update(
         [
             TargetEntry(
                 ListedTarget("e", "llm", "127.0.0.1:9", "north", 8, models=models)
             )
         ]
     )
-    return made
+    return entry_context
--- a/tests/test_entry/support.py
+++ b/tests/test_entry/support.py
@@ -1,4 +1,4 @@
-"""Targets and choices for tests of the request path."""
+"""Builders and fakes for tests of the request path."""
 
 from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.exchange import Exchange
@@ -17,7 +17,7 @@
 
 
 def make_target(name, version=1, domain="north", slots=64):
-    """Return an engine, or a plain target if it has no version."""
+    """Return an engine, or a plain target if the version is None."""
     models = () if version is None else (ModelVersion(MODEL, version),)
     number = sum(name.encode()) % 250
     listed = ListedTarget(
@@ -34,16 +34,23 @@
     parts=(),
     **changes,
 ):
-    """Return the placing of a request with a long shared opening.
-
-    ``parts`` are pairs of identity and tokens of several shared parts instead of
-    one; ``holding`` tells whether a target holds all of them.
+    """Return the inputs of the choice for a request with a long shared prefix.
+
+    Parameters
+    ----------
+    holding : callable, optional
+        Returns whether a target holds the whole shared prefix.
+    parts : sequence of tuple
+        Identity and token count of each shared part, instead of a single part with
+        ``shared_id`` and ``shared_tokens``.
+    **changes
+        Other fields of the inputs.
     """
     shared = [PromptPart(*part) for part in parts or [(shared_id, shared_tokens)]]
     own = PromptPart("own", prompt_tokens - sum(part.tokens for part in shared))
     chain = make_chain((*shared, own), prompt_tokens)
     if holding is not None:
-        changes["run"] = lambda target: run_of(holding(target), len(chain.levels))
+        changes["run"] = lambda target: make_run(holding(target), len(chain.levels))
     values = {
         "now": 100.0,
         "model": MODEL,
@@ -57,22 +64,22 @@
     return Placing(**values)
 
 
-def run_of(holding, levels):
-    """Return the run of an engine that holds so many levels, or reads them."""
+def make_run(holding, levels):
+    """Return the cached prefix of an engine that holds or processes some levels."""
     if holding is Holding.NONE:
         return Run()
     return Run(levels if holding is Holding.READY else 0, levels)
 
 
 def short_request(**changes):
-    """Return the placing of a request with a short prompt."""
+    """Return the inputs of the choice for a request with a short prompt."""
     values = {"shared_tokens": 55, "prompt_tokens": 380, "wait_part": 0.3}
     values.update(changes)
     return long_request(**values)
 
 
 class Connection:
-    """A caller that takes what it is sent."""
+    """Fake connection of a caller that records its responses."""
 
     on_gone = on_drained = None
     is_congested = False
@@ -85,7 +92,7 @@
 
 
 class Log:
-    """A log that keeps its events."""
+    """Fake log that records its events."""
 
     def __init__(self):
         self.events = []
--- a/tests/test_entry/test_choice.py
+++ b/tests/test_entry/test_choice.py
@@ -1,4 +1,9 @@
-"""Choice of a target by expected delay."""
+"""Choice of a target by expected delay.
+
+The tests guard against prompts that are processed at several engines although one holds
+them, routers that all choose the same target at the same moment, requests sent to
+unusable targets or outdated weights, and choices that scan a whole large fleet.
+"""
 
 import random
 from collections import Counter
@@ -6,14 +11,14 @@
 import pytest
 from attrs import evolve
 
-from berylnotch.entry.candidates import MAX_ALONG_RING
+from berylnotch.entry.candidates import MAX_RING_STEPS
 from berylnotch.entry.choice import choose, usable_in_s
 from berylnotch.placement.mirror import Holding, Run
 from berylnotch.placement.ring import Ring
 from tests.test_entry.support import long_request, make_target, short_request
 
 
-def names(count):
+def make_engines(count):
     return [make_target(f"e{n}") for n in range(count)]
 
 
@@ -22,7 +27,7 @@
 
 
 def test_every_router_computes_the_same_home():
-    engines = names(5)
+    engines = make_engines(5)
     first = choose(engines, long_request()).target.target_id
     again = choose(list(reversed(engines)), long_request()).target.target_id
     assert first == again
@@ -33,16 +38,16 @@
     assert len(homes) == 5
 
 
-def test_a_holder_is_preferred_to_the_home():
-    engines = names(5)
+def test_engine_that_holds_the_prompt_is_preferred_to_the_home():
+    engines = make_engines(5)
     home = choose(engines, long_request()).target
     holder = next(e for e in engines if e is not home)
     choice = choose(engines, long_request(holding=held_by(holder)))
     assert choice.target is holder and choice.unread == 4000
 
 
-def test_a_reader_is_joined_but_is_no_source_yet():
-    engines = names(3)
+def test_engine_that_processes_the_prompt_is_chosen_but_is_no_copy_source():
+    engines = make_engines(3)
     reader = engines[0]
     reader.unread = 17_000
     holding = held_by(reader, state=Holding.READING)
@@ -52,15 +57,15 @@
     assert moved.target is not reader and moved.source is None
 
 
-def test_a_busy_holder_hands_its_prompt_to_an_idle_engine():
-    engines = names(3)
+def test_idle_engine_copies_the_prompt_from_a_busy_holder():
+    engines = make_engines(3)
     holder = engines[0]
     holder.unread = 200_000
     choice = choose(engines, long_request(holding=held_by(holder)))
     assert choice.target is not holder and choice.source is holder
 
 
-def test_no_copy_is_taken_from_other_weights():
+def test_prompt_is_not_copied_from_other_weights():
     engines = [make_target("old", version=1), make_target("new", version=2)]
     engines[0].unread = 300_000
     placing = long_request(wanted_version=2, holding=held_by(engines[0]))
@@ -68,7 +73,7 @@
     assert choice.target is engines[1] and choice.source is None
 
 
-def test_older_weights_lose_unless_the_newer_ones_come_late():
+def test_older_weights_are_chosen_only_if_newer_ones_are_too_slow():
     old, new = make_target("old", version=1), make_target("new", version=2)
     outdated = {1: 3.0, 2: 0.0}
     placing = short_request(
@@ -79,14 +84,14 @@
     assert choose([old, new], placing).target is old
 
 
-def test_weights_outdated_for_too_long_are_not_used():
+def test_weights_outdated_beyond_the_limit_are_not_used():
     old = make_target("old", version=1)
     placing = short_request(wanted_version=2, outdated_s=lambda v: 13.0, stale_s=12.0)
     assert choose([old], placing) is None
 
 
-def test_unusable_targets_are_left_out():
-    loading, leaving, ejected, excluded, refused = names(5)
+def test_unusable_targets_are_excluded():
+    loading, leaving, ejected, excluded, refused = make_engines(5)
     loading.is_loading = True
     leaving.is_leaving = True
     for number in range(2):
@@ -98,7 +103,7 @@
     assert 0 < usable_in_s([refused], placing) <= 0.5
 
 
-def test_failing_and_slow_plain_targets_get_less():
+def test_failing_and_slow_plain_targets_get_fewer_requests():
     good, failing, slow = (make_target(n, version=None, slots=6) for n in "abc")
     for _ in range(8):
         failing.note_outcome(True, 0.05)
@@ -110,8 +115,8 @@
     assert choose([good, failing, slow], placing).target is not good
 
 
-def test_suspects_are_avoided_but_by_those_that_probe_them():
-    suspect, other = names(2)
+def test_suspect_targets_are_avoided_except_by_routers_that_probe_them():
+    suspect, other = make_engines(2)
     suspect.is_suspect = True
     other.in_flight = 50
     placing = short_request()
@@ -123,7 +128,7 @@
 
 
 def test_many_routers_with_the_same_knowledge_do_not_choose_the_same_target():
-    engines = names(30)
+    engines = make_engines(30)
     rng = random.Random(1)
     placing = short_request(sample=3, draw=rng.randrange)
     chosen = Counter(choose(engines, placing).target.target_id for _ in range(300))
@@ -134,8 +139,8 @@
     assert again[busy.target_id] == 0
 
 
-def test_long_prompts_spread_over_few_engines_of_their_own_and_their_holders():
-    engines = names(30)
+def test_long_prompts_spread_over_their_homes_and_follow_their_holders():
+    engines = make_engines(30)
     for engine in engines[1:]:
         engine.unread = 1000
     chosen = {
@@ -150,71 +155,71 @@
 
 @pytest.mark.parametrize("usable", [300, 20, 2, 1])
 def test_sample_is_complete_however_few_of_many_targets_are_usable(usable):
-    engines = names(300)
-    for left_out in engines[usable:]:
-        left_out.is_leaving = True
+    engines = make_engines(300)
+    for unusable in engines[usable:]:
+        unusable.is_leaving = True
     rng = random.Random(usable)
     placing = short_request(sample=3, draw=rng.randrange)
     chosen = Counter(choose(engines, placing).target.target_id for _ in range(200))
     assert set(chosen) <= {e.target_id for e in engines[:usable]}
-    # The best of a sample, not the best of all: no engine gets most requests.
+    # Each choice takes the best target of a sample, so no engine gets most requests.
     assert len(chosen) >= min(usable, 15) - 1
 
 
-def test_few_of_many_targets_are_looked_at():
-    looked = []
-    engines = names(3000)
+def test_choice_from_a_sample_examines_few_of_many_targets():
+    examined = []
+    engines = make_engines(3000)
     placing = short_request(
         sample=3,
         draw=random.Random(1).randrange,
-        outdated_s=lambda version: looked.append(version) or 0.0,
+        outdated_s=lambda version: examined.append(version) or 0.0,
     )
     assert choose(engines, placing) is not None
-    assert len(looked) < 30
+    assert len(examined) < 30
 
 
 TREE = [("common", 512), ("house", 4000), ("subject", 3000)]
 
 
-def nested(run, **changes):
+def nested_request(run, **changes):
     return long_request(parts=TREE, prompt_tokens=12_000, run=run, **changes)
 
 
-def test_the_longest_run_wins():
-    engines = names(4)
+def test_engine_with_the_longest_prefix_is_chosen():
+    engines = make_engines(4)
     runs = {"e1": Run(1, 1), "e2": Run(2, 2)}
-    placing = nested(lambda t: runs.get(t.target_id, Run()))
+    placing = nested_request(lambda t: runs.get(t.target_id, Run()))
     choice = choose(engines, placing)
     assert choice.target is engines[2] and choice.unread == 12_000 - 7512
 
 
-def test_a_part_of_a_run_is_read_no_further_than_needed():
-    engines = names(4)
+def test_prefix_that_no_engine_holds_is_not_counted_as_reprocessed():
+    engines = make_engines(4)
     runs = {"e1": Run(1, 1)}
-    choice = choose(engines, nested(lambda t: runs.get(t.target_id, Run())))
+    choice = choose(engines, nested_request(lambda t: runs.get(t.target_id, Run())))
     assert choice.target is engines[1] and choice.unread == 12_000 - 4512
     assert choice.read_again == 0
 
 
-def test_an_engine_with_a_part_copies_the_rest_from_one_with_all():
-    engines = names(2)
+def test_engine_with_a_partial_prefix_copies_the_rest():
+    engines = make_engines(2)
     runs = {"e0": Run(1, 1), "e1": Run(2, 2)}
     engines[1].unread = 300_000
-    choice = choose(engines, nested(lambda t: runs[t.target_id]))
+    choice = choose(engines, nested_request(lambda t: runs[t.target_id]))
     assert choice.target is engines[0] and choice.source is engines[1]
     assert choice.copied == 3000 and choice.unread == 12_000 - 7512
 
 
-def test_a_store_that_keeps_more_than_an_engine_is_used_instead():
-    engines = names(2)
+def test_store_that_holds_more_than_an_engine_is_the_copy_source():
+    engines = make_engines(2)
     runs = {"e0": Run(), "e1": Run(1, 1)}
     engines[1].unread = 300_000
-    placing = nested(lambda t: runs[t.target_id], saved=lambda t: 2)
+    placing = nested_request(lambda t: runs[t.target_id], saved=lambda t: 2)
     choice = choose(engines, placing)
     assert choice.source is None and choice.unread == 12_000 - 7512
 
 
-def test_no_request_is_sent_where_it_would_begin_too_late():
+def test_request_is_not_sent_where_it_would_begin_on_stale_weights():
     old = make_target("old", version=1)
     placing = short_request(wanted_version=2, outdated_s=lambda v: 8.0, stale_s=9.0)
     assert choose([old], placing) is not None
@@ -223,8 +228,8 @@
     assert choose([old], waiting) is None
 
 
-def test_short_prompts_lean_to_one_engine_for_each_shared_part():
-    engines = names(5)
+def test_short_prompts_with_the_same_shared_part_prefer_one_engine():
+    engines = make_engines(5)
 
     def homes(count, **changes):
         return [
@@ -252,29 +257,29 @@
     assert moved.target is not home
 
 
-def test_a_choice_in_a_large_fleet_looks_at_few_engines():
-    looked = []
-    engines = names(900)
-    table = Ring([(e.target_id, e) for e in engines])
+def test_choice_in_a_large_fleet_examines_few_engines():
+    examined = []
+    engines = make_engines(900)
+    ring = Ring([(e.target_id, e) for e in engines])
 
     def run(target):
-        looked.append(target)
+        examined.append(target)
         return Run(2, 2) if target is engines[7] else Run()
 
-    placing = nested(
+    placing = nested_request(
         run,
         sample=3,
-        walk=table.walk,
+        walk=ring.walk,
         holders=lambda: [engines[7]],
         draw=random.Random(1).randrange,
     )
     assert choose(engines, placing).target is engines[7]
-    # The home and its neighbours, the holder, and a random sample.
-    assert len(looked) <= 3 + 1 + 3
+    # Three engines from the hash order, the holder, and three random engines.
+    assert len(examined) <= 3 + 1 + 3
 
 
-def test_an_engine_that_is_emptied_gets_short_requests_only():
-    emptying, other = names(2)
+def test_emptying_engine_gets_long_requests_only_without_other_engines():
+    emptying, other = make_engines(2)
     emptying.is_emptying = True
     other.in_flight, other.unread = 10, 60_000
     assert choose([emptying, other], long_request()).target is other
@@ -282,15 +287,18 @@
     assert choose([emptying], long_request()).target is emptying
 
 
-def test_requests_that_came_later_than_expected_before_count_for_the_next():
+def test_earlier_overshoots_of_the_expected_delay_are_added():
     old = make_target("old", version=1)
     outdated = {"wanted_version": 2, "outdated_s": lambda v: 8.0, "stale_s": 9.0}
     assert choose([old], short_request(**outdated, overshoot_ms=500.0)) is not None
     assert choose([old], short_request(**outdated, overshoot_ms=1500.0)) is None
 
 
-def crowd(engines, **changes):
-    """Return a short request of one of many routers, which look at few engines."""
+def many_router_request(engines, **changes):
+    """Return the choice inputs of a short request at one of many routers.
+
+    With many routers each choice compares a sample of the engines.
+    """
     rng = random.Random(3)
     ring = Ring([(e.target_id, e) for e in engines])
     return short_request(
@@ -305,41 +313,44 @@
     )
 
 
-def test_all_of_many_routers_find_the_home_of_a_short_prompt():
-    engines = names(40)
-    chosen = {choose(engines, crowd(engines)).target.target_id for _ in range(20)}
+def test_many_routers_compute_the_same_home_of_a_short_prompt():
+    engines = make_engines(40)
+    chosen = {
+        choose(engines, many_router_request(engines)).target.target_id
+        for _ in range(20)
+    }
     assert len(chosen) == 1
 
 
-def test_other_engines_copy_a_short_prompt_from_its_home_without_notes():
-    engines = names(40)
-    home = choose(engines, crowd(engines)).target
+def test_short_prompt_is_copied_from_its_home_without_notes():
+    engines = make_engines(40)
+    home = choose(engines, many_router_request(engines)).target
     home.in_flight = 60
-    choice = choose(engines, crowd(engines))
+    choice = choose(engines, many_router_request(engines))
     assert choice.target is not home and choice.source is home
 
 
-def test_a_new_home_copies_from_the_engine_that_was_home_before():
-    engines = names(40)
+def test_new_home_copies_from_the_previous_home():
+    engines = make_engines(40)
     for engine in engines[20:]:
         engine.listed = make_target(engine.target_id, version=2).listed
-    before = choose(engines[20:], crowd(engines[20:])).target
+    previous_home = choose(engines[20:], many_router_request(engines[20:])).target
     order = Ring([(e.target_id, e) for e in engines]).walk("s0")
     joined = next(e for e in order if e in engines[:20])
     joined.listed = make_target(joined.target_id, version=2).listed
-    now = [*engines[20:], joined]
-    choice = choose(now, crowd(now))
+    current = [*engines[20:], joined]
+    choice = choose(current, many_router_request(current))
     if choice.target is joined:
-        assert choice.source is before
+        assert choice.source is previous_home
     else:
-        assert choice.target is before
+        assert choice.target is previous_home
 
 
-def test_a_short_prompt_in_a_large_fleet_is_placed_after_a_look_at_few_engines():
-    engines, walked = names(900), []
+def test_choice_for_a_short_prompt_in_a_large_fleet_examines_few_engines():
+    engines, walked = make_engines(900), []
     loading = make_target("new", version=2)
     loading.is_loading, loading.loading_until = True, 200.0
-    placing = crowd([*engines, loading])
+    placing = many_router_request([*engines, loading])
     ring = Ring([(e.target_id, e) for e in engines])
 
     def walk(key):
@@ -350,26 +361,30 @@
     samples = [engines[0], loading]
     placing = evolve(placing, walk=walk, weights_samples=lambda: samples)
     assert choose([*engines, loading], placing).target is walked[0]
-    assert len(walked) <= 2 * MAX_ALONG_RING
+    assert len(walked) <= 2 * MAX_RING_STEPS
 
 
-def test_an_engine_that_has_just_loaded_is_the_last_to_copy_from():
-    engines = names(40)
-    home = choose(engines, crowd(engines)).target
+def test_engine_with_recently_loaded_weights_is_the_last_copy_source():
+    engines = make_engines(40)
+    home = choose(engines, many_router_request(engines)).target
     home.in_flight, home.weights_at = 60, 99.0
-    choice = choose(engines, crowd(engines))
+    choice = choose(engines, many_router_request(engines))
     assert choice.source not in (home, None)
     for engine in engines:
         engine.weights_at = 99.0
-    assert choose(engines, crowd(engines)).source is home
+    assert choose(engines, many_router_request(engines)).source is home
 
 
-def test_a_short_prompt_is_not_copied_from_other_weights_or_a_dark_engine():
+def test_short_prompt_is_not_copied_from_other_weights_or_a_suspect_engine():
     old, new = make_target("old"), make_target("new", version=2)
-    placing = crowd([old, new], wanted_version=2, fresh_s=0.5, outdated_s=lambda v: 1.0)
-    assert choose([new], crowd([new])).source is None
+    placing = many_router_request(
+        [old, new], wanted_version=2, fresh_s=0.5, outdated_s=lambda v: 1.0
+    )
+    assert choose([new], many_router_request([new])).source is None
     new.is_loading = True
     assert choose([old, new], placing).source is None
-    dark, other = names(2)
-    dark.is_suspect = True
-    assert choose([dark, other], crowd([dark, other])).source is None
+    suspect, other = make_engines(2)
+    suspect.is_suspect = True
+    assert (
+        choose([suspect, other], many_router_request([suspect, other])).source is None
+    )
--- a/tests/test_entry/test_early.py
+++ b/tests/test_entry/test_early.py
@@ -1,9 +1,13 @@
-"""Requests that come before the router knows what to do with them."""
+"""Buffering of requests that arrive before the configuration of a router.
+
+The tests guard against callers that wait longer than necessary after a restart of all
+processes, and against a buffer that grows without bound or holds requests too long.
+"""
 
 import pytest
 
 from berylnotch.entry import early
-from berylnotch.entry.early import KEPT_PART, MAX_KEPT, EarlyRequests
+from berylnotch.entry.early import MAX_BUFFERED, MAX_BUFFERED_FRACTION, EarlyRequests
 from berylnotch.net.messages import Headers, HttpRequest
 from tests.test_daemon.test_fleet_weights import Clock
 
@@ -11,7 +15,7 @@
 
 
 class Caller:
-    """A caller's connection."""
+    """Fake connection of a caller."""
 
     def __init__(self, request_id):
         self.request_id, self.on_gone = request_id, None
@@ -25,86 +29,95 @@
 
 
 @pytest.fixture
-def answered():
+def released():
     return []
 
 
 @pytest.fixture
-def requests(clock, answered):
+def requests(clock, released):
     def answer(caller, request):
-        answered.append((caller.request_id, round(clock.now - 100.0, 3)))
+        released.append((caller.request_id, round(clock.now - 100.0, 3)))
 
     return EarlyRequests(clock, clock.now + START_S, answer)
 
 
-def ask(requests, clock, request_id, deadline_s=15.0):
+def send_request(requests, clock, request_id, deadline_s=15.0):
     caller = Caller(request_id)
     request = HttpRequest("POST", "/chat/x", Headers(), b"", clock.now)
     return caller, requests.keep(caller, request, deadline_s)
 
 
-def test_they_are_handed_on_in_the_order_they_came(requests, clock, answered):
+def test_buffered_requests_are_released_in_order_of_arrival(requests, clock, released):
     for number in range(3):
-        assert ask(requests, clock, f"r{number}")[1]
+        assert send_request(requests, clock, f"r{number}")[1]
         clock.advance(0.1)
     requests.hand_on()
-    assert [name for name, _ in answered] == ["r0", "r1", "r2"] and len(requests) == 0
+    assert [name for name, _ in released] == ["r0", "r1", "r2"] and len(requests) == 0
     clock.advance(5)
-    assert len(answered) == 3
+    assert len(released) == 3
 
 
-def test_none_is_kept_beyond_the_usual_start(requests, clock, answered):
-    ask(requests, clock, "a")
+def test_no_request_is_buffered_beyond_the_usual_start_time(requests, clock, released):
+    send_request(requests, clock, "a")
     clock.advance(1.0)
-    ask(requests, clock, "b")
+    send_request(requests, clock, "b")
     clock.advance(5)
-    assert answered == [("a", START_S), ("b", START_S)]
-    assert not ask(requests, clock, "late")[1]
+    assert released == [("a", START_S), ("b", START_S)]
+    assert not send_request(requests, clock, "late")[1]
 
 
-def test_a_caller_with_little_time_is_answered_sooner(requests, clock, answered):
-    ask(requests, clock, "short", deadline_s=0.6)
+def test_request_with_a_short_deadline_is_released_sooner(requests, clock, released):
+    send_request(requests, clock, "short", deadline_s=0.6)
     clock.advance(1.0)
-    assert answered == [("short", pytest.approx(KEPT_PART * 0.6))]
+    assert released == [("short", pytest.approx(MAX_BUFFERED_FRACTION * 0.6))]
 
 
-def test_a_caller_that_leaves_is_forgotten(requests, clock, answered):
-    caller, _ = ask(requests, clock, "gone")
+def test_request_of_a_disconnected_caller_is_discarded(requests, clock, released):
+    caller, _ = send_request(requests, clock, "gone")
     caller.on_gone()
     requests.hand_on()
     clock.advance(5)
-    assert answered == []
+    assert released == []
 
 
-def test_room_is_bounded(requests, clock, answered):
-    kept = [ask(requests, clock, str(n))[1] for n in range(MAX_KEPT + 1)]
-    assert kept == [True] * MAX_KEPT + [False]
+def test_buffer_size_is_bounded(requests, clock, released):
+    are_buffered = [
+        send_request(requests, clock, str(n))[1] for n in range(MAX_BUFFERED + 1)
+    ]
+    assert are_buffered == [True] * MAX_BUFFERED + [False]
 
 
-def return_of_all(clock, requests, known_at, waits):
-    """Play callers that come each 20 ms; return the times of their answers.
+def simulate_restart(clock, requests, known_at, is_buffering):
+    """Simulate callers that arrive every 20 ms; return their response times.
 
-    ``waits`` tells whether they wait at the router. Else they are told to come back in
-    the time of a usual start, as before.
+    Parameters
+    ----------
+    known_at : float
+        Seconds until the configuration is known.
+    is_buffering : bool
+        Whether the router buffers the requests. Otherwise it refuses them with a retry
+        delay until the time at which a start usually ends.
     """
     start, times = clock.now, []
-    requests._answer = lambda caller, request: times.append(clock.now - caller.came_at)
+    requests._handle_request = lambda caller, request: times.append(
+        clock.now - caller.arrived_at
+    )
     for number in range(int(known_at / 0.02)):
-        caller, is_kept = Caller(str(number)), False
-        caller.came_at = clock.now
-        if waits:
+        caller, is_buffered = Caller(str(number)), False
+        caller.arrived_at = clock.now
+        if is_buffering:
             request = HttpRequest("POST", "/chat/x", Headers(), b"", clock.now)
-            is_kept = requests.keep(caller, request, 15.0)
-        if not is_kept:
+            is_buffered = requests.keep(caller, request, 15.0)
+        if not is_buffered:
             times.append(max(0.3, start + START_S - clock.now))
         clock.advance(0.02)
     requests.hand_on()
     return times
 
 
-def test_callers_get_their_answers_sooner_than_by_coming_back(requests, clock):
-    waited = return_of_all(clock, requests, 0.6, waits=True)
-    told = return_of_all(clock, requests, 0.6, waits=False)
-    assert len(waited) == len(told) == 30
-    in_time = [sum(t <= 0.8 for t in times) for times in (told, waited)]
+def test_buffered_callers_are_answered_sooner_than_refused_callers(requests, clock):
+    buffered = simulate_restart(clock, requests, 0.6, is_buffering=True)
+    refused = simulate_restart(clock, requests, 0.6, is_buffering=False)
+    assert len(buffered) == len(refused) == 30
+    in_time = [sum(t <= 0.8 for t in times) for times in (refused, buffered)]
     assert in_time == [0, 30]
--- a/tests/test_entry/test_events.py
+++ b/tests/test_entry/test_events.py
@@ -1,4 +1,8 @@
-"""Events are cut out of a stream without changing a byte."""
+"""Splitting of a stream into events.
+
+The tests guard against changed or lost bytes when the network splits a stream at any
+position, and against a scan of long incomplete events from the start for each read.
+"""
 
 import pytest
 from hypothesis import given
@@ -16,7 +20,7 @@
 
 
 @given(st.lists(st.integers(1, 12), min_size=1, max_size=40))
-def test_any_cut_gives_the_same_events(sizes):
+def test_events_do_not_depend_on_where_the_stream_is_split(sizes):
     data, splitter, events = b"".join(EVENTS), EventSplitter(), []
     position = 0
     for size in sizes:
@@ -27,14 +31,14 @@
     assert [event.number for event in events] == [1, 2, 30, None]
 
 
-def test_an_event_that_is_not_whole_is_held_back():
+def test_incomplete_event_is_buffered():
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\ndata: a\n") == []
     assert splitter.tail == b"id: 1\ndata: a\n"
 
 
-class Spy:
-    """A pattern that notes how many bytes it was given to search."""
+class CountingPattern:
+    """Pattern that counts the bytes it is given to search."""
 
     def __init__(self, pattern):
         self.pattern, self.searched = pattern, 0
@@ -44,19 +48,19 @@
         return self.pattern.finditer(data, start)
 
 
-def test_a_line_without_end_is_looked_through_once(monkeypatch):
-    spy = Spy(events._BOUNDARY)
-    monkeypatch.setattr(events, "_BOUNDARY", spy)
+def test_long_incomplete_event_is_scanned_only_once(monkeypatch):
+    pattern = CountingPattern(events._BOUNDARY)
+    monkeypatch.setattr(events, "_BOUNDARY", pattern)
     splitter, piece = EventSplitter(), b"data: more " * 5
     for _ in range(2_000):
         assert splitter.feed(piece) == []
-    assert spy.searched < 2 * 2_000 * len(piece)
+    assert pattern.searched < 2 * 2_000 * len(piece)
     (event,) = splitter.feed(b"\n\n")
     assert len(event.data) == 2_000 * len(piece) + 2
 
 
 @pytest.mark.parametrize("cut", range(1, 4))
-def test_a_boundary_is_found_wherever_it_was_cut(cut):
+def test_boundary_is_found_wherever_it_is_split(cut):
     splitter = EventSplitter()
     boundary = b"\r\n\r\n"
     assert splitter.feed(b"id: 1\ndata: x" + boundary[:cut]) == []
--- a/tests/test_entry/test_exchange.py
+++ b/tests/test_entry/test_exchange.py
@@ -1,4 +1,8 @@
-"""One request from admission to its end, without a network."""
+"""Processing of one request from admission to its end, without a network.
+
+The tests guard against leaked load counters and crash-guard entries when a caller
+disconnects, and against refusals that promise the wrong outcome or retry delay.
+"""
 
 from berylnotch.daemon.fleet.follower import RETRY_S
 from berylnotch.daemon.fleet.replica_host import CONSENSUS
@@ -8,7 +12,7 @@
 from tests.test_entry.support import make_exchange
 
 
-def test_a_caller_that_leaves_leaves_nothing_behind(context):
+def test_caller_disconnect_releases_the_load_of_the_request(context):
     _, connection, ended = make_exchange(context)
     target = context.targets.get("e")
     assert target.in_flight == 1 and target.unread == 3000
@@ -18,7 +22,7 @@
     assert context.crashes._running == {}
 
 
-def test_no_usable_target_is_told_at_once_with_a_time_to_come_back(context):
+def test_request_without_usable_target_is_refused_with_a_retry_delay(context):
     target = context.targets.get("e")
     target.is_loading, target.loading_until = True, boot_time() + 1.5
     _, connection, ended = make_exchange(context)
@@ -29,13 +33,13 @@
     assert event == "finished" and fields["reason"].startswith("no-target")
 
 
-def test_a_request_without_time_left_is_refused_unsent(context):
+def test_request_past_its_deadline_is_refused_without_an_attempt(context):
     _, connection, _ = make_exchange(context, received_at=boot_time() - 60)
     assert connection.answers[0][0] == 503
     assert context.targets.get("e").in_flight == 0
 
 
-def test_a_request_that_would_come_too_late_is_refused(context):
+def test_request_that_would_be_answered_too_late_is_refused(context):
     target = context.targets.get("e")
     target.others_in_flight, target.others_unread = 60, 900_000
     _, connection, _ = make_exchange(context)
@@ -44,7 +48,7 @@
     assert context.log.events[-1][1]["reason"].startswith("too-late")
 
 
-def test_without_the_owner_of_limits_callers_come_back_when_there_is_one(context):
+def test_retry_delay_without_a_quota_owner_outlasts_its_failover(context):
     alpha = Organisation("alpha", ("k",), 0, 50_000, 100_000, True, 200)
     _, connection, ended = make_exchange(context, organisation=alpha)
     assert connection.answers == []
@@ -52,13 +56,14 @@
     context.gate.serve(boot_time() + waited_s)
     status, headers, _ = connection.answers[0]
     assert status == 503 and len(ended) == 1
-    # The next owner is elected by then, and routers have left the silent one.
+    # By then the next quota owner is elected, and the routers have dropped their links
+    # to the silent one.
     failover_s = max(CONSENSUS.election_max_s, LinkSettings().silence_s) + RETRY_S
     assert waited_s + float(headers.get("Retry-After")) >= failover_s
     assert context.log.events[-1][1]["reason"].startswith("no-grant")
 
 
-def test_at_the_end_of_the_process_what_was_not_sent_is_told_as_not_run(context):
+def test_unsent_request_is_refused_when_the_process_stops(context):
     exchange, connection, ended = make_exchange(context)
     exchange.stop()
     status, headers, _ = connection.answers[0]
@@ -67,7 +72,7 @@
     assert context.targets.get("e").in_flight == 0
 
 
-def test_at_the_end_of_the_process_the_outcome_of_what_was_sent_is_unknown(context):
+def test_sent_request_has_unknown_outcome_when_the_process_stops(context):
     exchange, connection, _ = make_exchange(context)
     exchange._attempt._connection._has_sent = True
     exchange.stop()
--- a/tests/test_entry/test_failures.py
+++ b/tests/test_entry/test_failures.py
@@ -1,4 +1,9 @@
-"""What became of requests at similar systems, brought about on real sockets."""
+"""Failures of targets that are known from similar systems, over real sockets.
+
+The tests guard against a response that belongs to another request, an incomplete
+response that looks complete, an unrepeatable request that runs twice, and a stream that
+is cut although it is only slow. Raw servers send the bytes that cause each failure.
+"""
 
 import json
 import threading
@@ -18,7 +23,7 @@
 from tests.fleet.processes import configuration
 from tests.test_net.support import RawServer
 
-PATIENCE_S = 5.0
+RESPONSE_TIMEOUT_S = 5.0
 
 
 def head(request_id, *lines, status="200 OK"):
@@ -28,7 +33,7 @@
     return "\r\n".join(fields).encode() + b"\r\n\r\n"
 
 
-def whole(request_id, body, status="200 OK"):
+def complete_response(request_id, body, status="200 OK"):
     return head(request_id, f"Content-Length: {len(body)}", status=status) + body
 
 
@@ -45,7 +50,7 @@
 
 
 class Caller:
-    """A caller that keeps what it is sent, and waits for the end."""
+    """Fake connection of a caller that records its response and signals the end."""
 
     on_gone = on_drained = None
     is_congested = False
@@ -77,13 +82,13 @@
 
 @pytest.fixture
 def router(context):
-    """Return a function that sends a request to targets by their raw servers."""
+    """Return a function that sends a request to targets behind raw servers."""
     values = configuration(3, timeoutMs=1500)
     del values["tenants"]
     context.routes = RouteTable(decode_configuration(json.dumps(values).encode()))
     context.loop.start()
 
-    def ask(path, servers, request_id="id-1"):
+    def send_request(path, servers, request_id="id-1"):
         entries = [
             TargetEntry(
                 ListedTarget(
@@ -112,37 +117,40 @@
             Exchange(context, caller, admitted, lambda exchange: None).start()
 
         context.loop.call_soon(send)
-        assert caller.done.wait(PATIENCE_S)
+        assert caller.done.wait(RESPONSE_TIMEOUT_S)
         return caller
 
-    yield ask
+    yield send_request
     context.loop.close()
 
 
-# A second copy of an answer on a connection that is in use again.
+# A late duplicate of a response on a reused connection.
 
 
 @pytest.mark.parametrize("interim", [b"", b"HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n"])
-def test_a_late_second_copy_is_no_answer_to_the_next_request(router, interim):
+def test_late_duplicate_does_not_answer_the_next_request(router, interim):
     server = RawServer(
-        whole("id-1", b"first"),
-        interim + whole("id-1", b"first") + whole("id-2", b"second"),
+        complete_response("id-1", b"first"),
+        interim
+        + complete_response("id-1", b"first")
+        + complete_response("id-2", b"second"),
     )
     assert router("/read/x", [server], "id-1").body == b"first"
     assert router("/read/x", [server], "id-2").body == b"second"
 
 
-def test_a_late_failure_without_a_name_is_no_answer_to_the_next_request(router):
+def test_late_error_without_request_id_does_not_answer_the_next_request(router):
     server = RawServer(
-        whole("id-1", b"first"), whole("", b"", status="408 Request Timeout")
+        complete_response("id-1", b"first"),
+        complete_response("", b"", status="408 Request Timeout"),
     )
     assert router("/book/x", [server], "id-1").body == b"first"
     second = router("/book/x", [server], "id-2")
-    # It was sent, so it may have run; 408 would promise that it has not.
+    # The request was sent and may have run; status 408 would promise the opposite.
     assert second.status == 502
 
 
-# Answers that break off.
+# Truncated responses.
 
 
 @pytest.mark.parametrize("path", ["/read/x", "/book/x"])
@@ -157,7 +165,7 @@
         head("id-1", CHUNKED, "Trailer: A") + chunk(b"half") + b"0\r\nA: b\r\n",
     ],
 )
-def test_an_answer_that_breaks_off_is_no_success(router, path, answer):
+def test_truncated_response_is_no_success(router, path, answer):
     assert router(path, [RawServer(answer)]).status >= 500
 
 
@@ -167,23 +175,23 @@
         head("id-1", STREAM, CHUNKED) + chunk(events(1, 2)),
         head("id-1", STREAM, CHUNKED) + chunk(events(1) + b"id: 2\nda"),
         head("id-1", STREAM, "Content-Length: 400") + events(1, 2),
-        # Without a length the end of the connection may be a loss.
+        # Without a length, a closed connection may mean that the target was lost.
         head("id-1", STREAM) + events(1) + b"id: 2\nda",
     ],
 )
-def test_a_stream_that_breaks_off_does_not_look_complete(router, answer):
+def test_truncated_stream_does_not_look_complete(router, answer):
     caller = router("/chat/x", [RawServer(answer)])
     assert caller.end == "broken off" or caller.status >= 500
     assert b"da\n" not in caller.body
 
 
-def test_a_stream_without_a_length_that_ends_with_an_event_is_whole(router):
+def test_stream_without_length_that_ends_with_an_event_is_complete(router):
     answer = head("id-1", STREAM) + events(1, 2)
     caller = router("/chat/x", [RawServer(answer)])
     assert caller.end == "whole" and caller.body == events(1, 2)
 
 
-# Answers that are lost.
+# Lost responses.
 
 
 @pytest.mark.parametrize(
@@ -191,11 +199,11 @@
     [b"", head("id-1", "Content-Length: 9"), head("id-1", "Content-Length: 9") + b"a"],
 )
 @pytest.mark.parametrize("reset", [False, True])
-def test_work_that_may_have_run_is_not_run_again_nor_called_not_run(
+def test_unrepeatable_request_that_may_have_run_is_not_retried_or_refused(
     router, answer, reset
 ):
     first = RawServer(answer, reset=reset)
-    second = RawServer(whole("id-1", b"again"))
+    second = RawServer(complete_response("id-1", b"again"))
     caller = router("/book/x", [first])
     assert caller.status == 502
     caller = router("/book/x", [first, second], "id-2")
@@ -205,7 +213,7 @@
 # Slow and stalled streams.
 
 
-def test_bytes_without_events_do_not_keep_a_stalled_stream(router, context):
+def test_bytes_without_events_do_not_hide_a_stalled_stream(router, context):
     context.settings = attrs.evolve(context.settings, stall_s=0.3, slow_factor=1.0)
     stalled = RawServer(
         head("id-1", STREAM, CHUNKED) + chunk(events(1)),
@@ -218,7 +226,7 @@
     assert caller.body.startswith(events(1)) and caller.body.endswith(events(2))
 
 
-def test_a_slow_stream_within_its_pauses_is_not_cut(router, context):
+def test_slow_stream_with_pauses_below_the_limit_is_not_cut(router, context):
     context.settings = attrs.evolve(context.settings, stall_s=0.3, slow_factor=1.0)
     slow = RawServer(
         head("id-1", STREAM, CHUNKED) + chunk(events(1)),
