--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -227,7 +227,7 @@
         self._reading.done(self._sent_at)
         for event in self._splitter.feed(data):
             if event.is_progress:
-                # Incomplete events and comments do not show that the run progresses.
+                # Incomplete events and comments do not show progress of the run.
                 self._last_event_at = self._target.heard_at = boot_time()
             self._owner.stream_began(200, forwarded_headers(self._head))
             self._owner.event(event.data, event.number)
--- a/berylnotch/entry/exchange.py
+++ b/berylnotch/entry/exchange.py
@@ -214,7 +214,7 @@
     # Callbacks of the attempt.
 
     def stream_began(self, status: int, headers: object) -> None:
-        """Send the head of a stream to the caller, unless the caller has one already."""
+        """Send the head of a stream, unless the caller already has one."""
         self._reply.begin_stream(status, headers)
 
     def event(self, data: bytes, number: int | None) -> None:
