--- a/berylnotch/placement/__init__.py
+++ b/berylnotch/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a target by prefix affinity, load and cost."""
+"""Selection of a target by prefix affinity, load and expected cost."""
--- a/berylnotch/placement/chain.py
+++ b/berylnotch/placement/chain.py
@@ -1,4 +1,4 @@
-"""Chains of prefix hashes."""
+"""Chains of prefix hashes, computed over fixed-size blocks of the prompt bytes."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 #: Bytes in one hash of a chain.
 HASH_BYTES = 16
 
-#: Prompt bytes in one piece unless the settings say otherwise.
-DEFAULT_PIECE_BYTES = 4096
+#: Prompt bytes in one block, unless the settings set another size.
+DEFAULT_BLOCK_BYTES = 4096
 
 _SEED_LABEL = b"berylnotch chain 1"
 
 
 @frozen
 class Scope:
-    """What must be equal for two requests to share cached pieces."""
+    """Properties that must be equal for two requests to share cached blocks."""
 
     organisation: str
     service: str
@@ -25,34 +25,35 @@
 
 
 def hash_chain(
-    scope: Scope, prompt: bytes, piece_bytes: int = DEFAULT_PIECE_BYTES
+    scope: Scope, prompt: bytes, block_bytes: int = DEFAULT_BLOCK_BYTES
 ) -> tuple[bytes, ...]:
-    """Hash each prefix of whole pieces.
+    """Hash each prefix of the prompt that ends at a block boundary.
 
-    Hash ``i`` covers the scope and the first ``i + 1`` pieces, so two prompts
-    share a hash only if they share the scope and everything up to there.
+    Hash ``i`` covers the scope and the first ``i + 1`` blocks, so two prompts
+    share a hash only if they share the scope and all bytes up to the end of block
+    ``i``.
 
     Parameters
     ----------
     scope : Scope
         Organisation, service and weights version of the request.
     prompt : bytes
-        The prompt as the engine will see it.
-    piece_bytes : int, default=4096
-        Length of one piece.
+        The prompt as the engine receives it.
+    block_bytes : int, default=4096
+        Length of one block in bytes.
 
     Returns
     -------
     tuple of bytes
-        One hash of ``HASH_BYTES`` for each full piece; a shorter rest is left
-        out.
+        One hash of ``HASH_BYTES`` for each full block; a partial last block has
+        none.
     """
     previous = _seed(scope)
     chain = []
     view = memoryview(prompt)
-    for end in range(piece_bytes, len(prompt) + 1, piece_bytes):
+    for end in range(block_bytes, len(prompt) + 1, block_bytes):
         digest = hashlib.sha256(previous)
-        digest.update(view[end - piece_bytes : end])
+        digest.update(view[end - block_bytes : end])
         previous = digest.digest()[:HASH_BYTES]
         chain.append(previous)
     return tuple(chain)
@@ -62,7 +63,7 @@
     digest = hashlib.sha256(_SEED_LABEL)
     for part in (scope.organisation, scope.service, scope.weights):
         encoded = part.encode()
-        # The length keeps ("ab", "c") and ("a", "bc") apart.
+        # The length prefix gives ("ab", "c") and ("a", "bc") different seeds.
         digest.update(len(encoded).to_bytes(4, "big"))
         digest.update(encoded)
     return digest.digest()[:HASH_BYTES]
--- a/berylnotch/placement/chains.py
+++ b/berylnotch/placement/chains.py
@@ -1,7 +1,7 @@
-"""Chains of a prompt's parts, which requests share from the first part on.
+"""Chains of the shared prompt prefixes that a caller declares as parts.
 
-Prompts are trees: an engine goes on from the longest run of parts, from the first
-on, that it holds. The last part of a prompt is its own.
+Prompts form a prefix tree: an engine reuses the longest sequence of leading parts
+that its cache holds. The last part of a prompt is not shared with other requests.
 """
 
 from __future__ import annotations
@@ -11,38 +11,40 @@
 
 from attrs import field, frozen
 
-#: Shared tokens from which it pays to send a prompt to an engine that holds them:
-#: reading so many takes longer than an engine's usual step.
+#: Least shared tokens for which a prompt is routed to an engine that caches them.
+#: Prefill of this many tokens takes longer than an engine's usual step.
 MIN_HOME_TOKENS = 1024
 
-#: Most parts of a prompt that is placed by its parts, and most tokens of one.
+#: Limits on the parts of a prompt and on the tokens of one part; a prompt above either
+#: limit is placed without prefix affinity.
 MAX_PARTS = 64
 MAX_PART_TOKENS = 4_000_000
 
-#: Deepest shared levels that are looked for and told to other routers.
+#: Number of the deepest shared levels that are looked up and reported to other
+#: routers.
 MAX_LEVELS = 6
 
 
 @frozen
 class PromptPart:
-    """A part of a prompt, which other requests may share, and its tokens."""
+    """A part of a prompt that other requests may share, with its token count."""
 
     part_id: str
     tokens: int
 
 
 @frozen
-class Level:
-    """A shared part with all before it.
+class SharedPrefix:
+    """A shared prefix: one shared part with all parts before it.
 
     Parameters
     ----------
     path : str
-        Identities of the parts up to this one.
+        Identities of the parts up to and including this part, joined by slashes.
     tokens : int
         Tokens of this part.
     total : int
-        Tokens from the first part to the end of this one.
+        Tokens from the start of the prompt to the end of this part.
     """
 
     path: str
@@ -52,101 +54,107 @@
 
 @frozen
 class Chain:
-    """What a prompt shares with others.
+    """Prefixes that a prompt shares with other prompts.
 
     Parameters
     ----------
-    levels : tuple of Level
-        Levels worth a trip to an engine that holds them, the shallowest first.
+    levels : tuple of SharedPrefix
+        Shared prefixes that are long enough for prefix affinity, shallowest first.
     path : str
-        Identities of all shared parts, empty if there are none.
+        Identities of all shared parts, joined by slashes; empty without shared
+        parts.
     shared_tokens : int
         Tokens of all shared parts.
     problem : str
-        Why the parts were not taken, empty if they were.
+        Reason for which the parts were rejected; empty if they were accepted.
     """
 
-    levels: tuple[Level, ...] = ()
+    levels: tuple[SharedPrefix, ...] = ()
     path: str = ""
     shared_tokens: int = 0
     problem: str = ""
-    _marks: dict[str, tuple[int, ...]] = field(factory=dict, eq=False, repr=False)
+    _hashes: dict[str, tuple[int, ...]] = field(factory=dict, eq=False, repr=False)
 
     @property
     def has_home(self) -> bool:
-        """Whether the prompt belongs to engines that hold a part of it."""
+        """Whether the prompt has prefix affinity to the engines that cache a level."""
         return bool(self.levels)
 
     @property
     def store_key(self) -> str:
-        """What decides which store keeps the prompt, alike for a whole branch."""
+        """Key that selects the KV store of the prompt; empty without levels.
+
+        Prompts with the same first level have the same key, and so the same store.
+        """
         return self.levels[0].path if self.levels else ""
 
     def total(self, count: int) -> int:
-        """Return the tokens of the first so many levels."""
+        """Return the tokens of the first ``count`` levels."""
         return self.levels[count - 1].total if count else 0
 
     def marks(self, salt: str) -> tuple[int, ...]:
-        """Return a mark of 32 bits for each level.
+        """Return a 32-bit hash for each level.
 
-        Two of 10,000 prompts have the same mark in one of 90 fleets; a router then
-        expects a prompt where it is not, and the engine reads it.
+        With 10,000 prompts, the chance that any two have the same hash is about 1 in
+        90. After a collision a router expects a cache hit at an engine that lacks the
+        prompt, and the engine computes the prefill.
 
         Parameters
         ----------
         salt : str
-            What separates cache entries that may not be shared.
+            Distinguishes cache entries that must not be shared.
         """
-        marks = self._marks.get(salt)
-        if marks is None:
-            marks = tuple(prompt_mark(salt, level.path) for level in self.levels)
-            self._marks[salt] = marks
-        return marks
+        hashes = self._hashes.get(salt)
+        if hashes is None:
+            hashes = tuple(prompt_mark(salt, level.path) for level in self.levels)
+            self._hashes[salt] = hashes
+        return hashes
 
 
-#: Chain of a prompt that shares nothing.
+#: Chain of a prompt without shared parts.
 NO_CHAIN = Chain()
 
 
 def prompt_mark(salt: str, path: str) -> int:
-    """Return 32 bits that stand for a shared beginning of a prompt."""
+    """Return the 32-bit hash that identifies a shared prefix of a prompt."""
     return zlib.crc32(f"{salt} {path}".encode())
 
 
 def make_chain(parts: Sequence[PromptPart], prompt_tokens: int) -> Chain:
     """Return the chain of a prompt's parts.
 
-    Parts that make no sense are of no use for placing, and the prompt goes anywhere.
+    Invalid parts give a chain without levels, so the prompt has no prefix affinity and
+    any target may get it.
 
     Parameters
     ----------
     parts : sequence of PromptPart
-        Parts in order, the last one the prompt's own.
+        Parts in order; the last part is not shared.
     prompt_tokens : int
-        Tokens of the whole prompt.
+        Tokens of the whole prompt; 0 if unknown.
     """
     if len(parts) < 2:
         return NO_CHAIN
-    problem = _problem(parts, prompt_tokens)
+    problem = _find_problem(parts, prompt_tokens)
     if problem:
         return Chain(problem=problem)
-    levels, names, total = [], [], 0
+    levels, part_ids, total = [], [], 0
     for part in parts[:-1]:
-        names.append(part.part_id)
+        part_ids.append(part.part_id)
         total += part.tokens
         if total >= MIN_HOME_TOKENS and part.tokens:
-            levels.append(Level("/".join(names), part.tokens, total))
-    return Chain(tuple(levels[-MAX_LEVELS:]), "/".join(names), total)
+            levels.append(SharedPrefix("/".join(part_ids), part.tokens, total))
+    return Chain(tuple(levels[-MAX_LEVELS:]), "/".join(part_ids), total)
 
 
-def _problem(parts: Sequence[PromptPart], prompt_tokens: int) -> str:
-    """Return what is wrong with the parts of a prompt, empty if nothing is."""
+def _find_problem(parts: Sequence[PromptPart], prompt_tokens: int) -> str:
+    """Return the reason for which the parts are invalid, empty if they are valid."""
     if len(parts) > MAX_PARTS:
-        return f"{len(parts)} parts"
+        return f"{len(parts)} parts exceed the limit"
     if len({part.part_id for part in parts}) < len(parts):
-        return "a part comes twice"
+        return "duplicate part identity"
     if any(part.tokens > MAX_PART_TOKENS for part in parts):
-        return "a part is too long"
+        return "a part exceeds the token limit"
     total = sum(part.tokens for part in parts)
     if prompt_tokens and total != prompt_tokens:
         return f"parts have {total} tokens, the prompt {prompt_tokens}"
--- a/berylnotch/placement/costs.py
+++ b/berylnotch/placement/costs.py
@@ -1,134 +1,146 @@
-"""How long engines take to read prompts, learned from their first events."""
+"""Estimates of prefill and transfer times, fitted to measured times to first token."""
 
 from __future__ import annotations
 
 from attrs import define, field, frozen
 
-#: Time to read a prompt token, and until the first event beside it, before any answer
-#: was measured; in ms. Engines of the users' sheets read 40 to 80 tokens in a ms.
-START_TOKEN_MS = 0.021
-START_BASE_MS = 25.0
+#: Initial estimates in ms, before the first measurement: the prefill time of a prompt
+#: token, and the fixed part of the time to first token. The engines in the users' data
+#: sheets prefill 40 to 80 tokens per ms.
+INITIAL_TOKEN_MS = 0.021
+INITIAL_BASE_MS = 25.0
 
-#: Bounds of what is learned, in ms.
+#: Bounds of the fitted estimates, in ms.
 MIN_TOKEN_MS, MAX_TOKEN_MS = 1 / 400, 1 / 5
 MAX_BASE_MS = 500.0
 
-#: Part of its weight that a measurement keeps when the next one comes: about the last
-#: fifty count.
-KEPT_PART = 0.98
+#: Factor on the weight of earlier measurements at each new one, so that the estimate
+#: reflects about the last 50.
+WEIGHT_DECAY = 0.98
 
-#: Weight of the start values, in measurements, and the prompts that they stand for.
-START_WEIGHT = 0.5
-START_TOKENS = (500.0, 12_000.0)
+#: Weight of each initial data point in the fit, relative to one measurement, and the
+#: prompt tokens of these points.
+INITIAL_WEIGHT = 0.5
+INITIAL_TOKENS = (500.0, 12_000.0)
 
-#: Multiple of the usual time above which a measurement is cut.
-LONGEST_FACTOR = 4.0
+#: Multiple of the estimated time to which a longer measurement is clipped.
+OUTLIER_FACTOR = 4.0
 
-#: Prompt tokens below which a measurement says little of the time to read.
+#: Prompt tokens below which a measurement is ignored, since the prefill is too small a
+#: part of it.
 MIN_TOKENS = 200
 
-#: Part of the queue of unread prompts that an urgent request waits for, before any
-#: answer was measured, since engines admit it before the others; that of others; and
-#: the least that is expected.
-START_URGENT_PART = 0.3
-START_PART = 1.0
-MIN_PART = 0.03
+#: Initial estimates of the share of the prefill queue for which a request waits. The
+#: share of urgent requests is lower, since engines admit them before the others. The
+#: second value is also the upper bound of a measured share, the third the lower bound.
+INITIAL_URGENT_QUEUE_SHARE = 0.3
+INITIAL_QUEUE_SHARE = 1.0
+MIN_QUEUE_SHARE = 0.03
 
-#: Queue in ms from which the wait of a request tells something, and the weight of the
-#: newest one.
+#: Queue in ms below which the wait of a request is ignored by the estimate of the queue
+#: share, and the weight of a new measurement in this moving average.
 MIN_QUEUE_MS = 50.0
-PART_STEP = 0.1
+QUEUE_SHARE_SMOOTHING = 0.1
 
-#: Part that is kept, with each answer, of the most by which one came later than
-#: expected: half of it after about 70 answers in time.
-OVERSHOOT_KEPT = 0.99
+#: Factor by which the largest overshoot of the expected time to first token decays with
+#: each answer: half of it is left after about 70 answers in time.
+OVERSHOOT_DECAY = 0.99
 
-#: Tokens in a ms that an engine takes over from another, or from a store, where the
-#: configuration does not state its links.
+#: Tokens per ms that an engine copies from another engine, or from a KV store, if the
+#: configuration does not state the link's bandwidth.
 DEFAULT_COPY_PER_MS = 1500.0
 DEFAULT_STORE_PER_MS = 100.0
 
-#: How much longer a transfer takes between failure domains.
-FAR_FACTOR = 2.0
+#: Factor on the time of a transfer between failure domains.
+CROSS_DOMAIN_FACTOR = 2.0
 
-#: Part by which each request that runs beside it lengthens the reading of a prompt.
-LOAD_PART = 0.008
+#: Share by which each concurrent request at the engine lengthens a prefill.
+LOAD_SLOWDOWN = 0.008
 
 
 @frozen
 class EngineCosts:
-    """Times of the engines of one service.
+    """Prefill and transfer costs of the engines of one service.
 
     Parameters
     ----------
     token_ms : float
-        Time to read a prompt token, in ms.
+        Prefill time of a prompt token, in ms.
     base_ms : float
-        Time until the first event beside it, in ms.
-    copy_per_ms : float
-        Tokens that an engine takes over from another in a ms.
-    store_per_ms : float
-        Tokens that an engine takes from a store in a ms.
+        Fixed part of the time to first token, in ms.
+    copy_tokens_per_ms : float
+        Tokens per ms that an engine copies from another engine.
+    store_tokens_per_ms : float
+        Tokens per ms that an engine fetches from a KV store.
     """
 
-    token_ms: float = START_TOKEN_MS
-    base_ms: float = START_BASE_MS
-    copy_per_ms: float = DEFAULT_COPY_PER_MS
-    store_per_ms: float = DEFAULT_STORE_PER_MS
+    token_ms: float = INITIAL_TOKEN_MS
+    base_ms: float = INITIAL_BASE_MS
+    copy_tokens_per_ms: float = DEFAULT_COPY_PER_MS
+    store_tokens_per_ms: float = DEFAULT_STORE_PER_MS
 
     def read_ms(self, tokens: int, load: int) -> float:
-        """Return the time to read so many tokens beside so many requests."""
-        return tokens * self.token_ms * (1 + LOAD_PART * load)
+        """Return the time in ms to prefill tokens beside ``load`` running requests."""
+        return tokens * self.token_ms * (1 + LOAD_SLOWDOWN * load)
 
     def copy_ms(self, tokens: int, is_far: bool) -> float:
-        """Return the time to take tokens over from another engine."""
-        return tokens / self.copy_per_ms * (FAR_FACTOR if is_far else 1.0)
+        """Return the time in ms to copy cached tokens from another engine.
+
+        If ``is_far``, that engine is in another failure domain.
+        """
+        return (
+            tokens / self.copy_tokens_per_ms * (CROSS_DOMAIN_FACTOR if is_far else 1.0)
+        )
 
     def store_ms(self, tokens: int) -> float:
-        """Return the time to take tokens from a store, which may be far."""
-        return tokens / self.store_per_ms * FAR_FACTOR
+        """Return the time in ms to fetch cached tokens from a KV store.
+
+        The store may be in another failure domain, so `CROSS_DOMAIN_FACTOR` applies.
+        """
+        return tokens / self.store_tokens_per_ms * CROSS_DOMAIN_FACTOR
 
 
 @define
 class CostMeter:
-    """Line through the measured times to the first event of one service.
+    """Linear fit of the time to first token over the prompt tokens, for one service.
 
-    Older measurements lose their weight, so that it follows a change of the engines.
+    The weight of older measurements decays exponentially, so that the fit follows a
+    change of the engines.
     """
 
-    _weight: float = 0.0
-    _x: float = 0.0
-    _y: float = 0.0
-    _xx: float = 0.0
-    _xy: float = 0.0
-    _parts: dict[int, float] = field(factory=dict)
+    _sum_weight: float = 0.0
+    _sum_x: float = 0.0
+    _sum_y: float = 0.0
+    _sum_xx: float = 0.0
+    _sum_xy: float = 0.0
+    _queue_shares: dict[int, float] = field(factory=dict)
     _overshoot_ms: float = 0.0
-    _line: tuple[float, float] = field(default=(START_BASE_MS, START_TOKEN_MS))
+    _fit: tuple[float, float] = field(default=(INITIAL_BASE_MS, INITIAL_TOKEN_MS))
 
     @property
     def base_ms(self) -> float:
-        """Time until the first event beside the reading, in ms."""
-        return self._line[0]
+        """Fixed part of the time to first token, in ms."""
+        return self._fit[0]
 
     @property
     def token_ms(self) -> float:
-        """Time to read a prompt token, in ms."""
-        return self._line[1]
+        """Prefill time of a prompt token, in ms."""
+        return self._fit[1]
 
     @property
     def overshoot_ms(self) -> float:
-        """Time by which first events came later than expected, in ms, at worst."""
+        """Largest recent excess over the expected time to first token, in ms."""
         return self._overshoot_ms
 
     def note_overshoot(self, expected_ms: float, took_ms: float) -> None:
-        """Take when a first event came, and when it was expected."""
-        kept = OVERSHOOT_KEPT * self._overshoot_ms
-        self._overshoot_ms = max(kept, took_ms - expected_ms)
+        """Record an expected and a measured time to first token, in ms."""
+        decayed_ms = OVERSHOOT_DECAY * self._overshoot_ms
+        self._overshoot_ms = max(decayed_ms, took_ms - expected_ms)
 
     def wait_part(self, priority: int, is_urgent: bool) -> float:
-        """Return the part of the queue that requests of a priority wait for."""
-        start = START_URGENT_PART if is_urgent else START_PART
-        return self._parts.get(priority, start)
+        """Return the share of the prefill queue that delays a priority's requests."""
+        initial = INITIAL_URGENT_QUEUE_SHARE if is_urgent else INITIAL_QUEUE_SHARE
+        return self._queue_shares.get(priority, initial)
 
     def note_wait(
         self,
@@ -138,52 +150,62 @@
         queue_ms: float,
         took_ms: float,
     ) -> None:
-        """Take a first event, and the queue that was before the request.
+        """Record the time to first token of a request that was queued.
 
         Parameters
         ----------
         priority : int
-            Priority that the engine was told.
+            Priority with which the request was sent to the engine.
         is_urgent : bool
-            Whether engines were expected to admit it before most others.
+            Whether engines are expected to admit the request before most others.
         tokens : int
-            Prompt tokens that were read for it.
+            Prompt tokens of the request that the engine prefilled.
         queue_ms : float
-            Time to read what was before it, if nothing went first.
+            Time in ms to prefill all prompts that were queued before the request, in
+            order of arrival.
         took_ms : float
-            Time until the first event.
+            Time to first token, in ms.
         """
         if queue_ms < MIN_QUEUE_MS:
             return
         waited_ms = took_ms - self.base_ms - tokens * self.token_ms
-        part = min(START_PART, max(MIN_PART, waited_ms / queue_ms))
-        usual = self.wait_part(priority, is_urgent)
-        self._parts[priority] = usual + (part - usual) * PART_STEP
+        share = min(INITIAL_QUEUE_SHARE, max(MIN_QUEUE_SHARE, waited_ms / queue_ms))
+        estimate = self.wait_part(priority, is_urgent)
+        self._queue_shares[priority] = (
+            estimate + (share - estimate) * QUEUE_SHARE_SMOOTHING
+        )
 
     def note(self, tokens: int, took_ms: float) -> None:
-        """Take a first event that came after reading so many tokens."""
+        """Record a time to first token in ms after a prefill of ``tokens``."""
         if tokens < MIN_TOKENS or took_ms <= 0:
             return
-        # A request that waited for others tells little of the reading.
-        usual_ms = self.base_ms + tokens * self.token_ms
-        took_ms = min(took_ms, LONGEST_FACTOR * usual_ms)
-        self._weight = KEPT_PART * self._weight + 1
-        self._x = KEPT_PART * self._x + tokens
-        self._y = KEPT_PART * self._y + took_ms
-        self._xx = KEPT_PART * self._xx + tokens * tokens
-        self._xy = KEPT_PART * self._xy + tokens * took_ms
-        self._solve()
-
-    def _solve(self) -> None:
-        weight, x, y, xx, xy = self._weight, self._x, self._y, self._xx, self._xy
-        for tokens in START_TOKENS:
-            expected = START_BASE_MS + tokens * START_TOKEN_MS
-            weight += START_WEIGHT
-            x += START_WEIGHT * tokens
-            y += START_WEIGHT * expected
-            xx += START_WEIGHT * tokens * tokens
-            xy += START_WEIGHT * tokens * expected
+        # A request that was queued behind others says little about the prefill time,
+        # so its measurement is clipped.
+        estimate_ms = self.base_ms + tokens * self.token_ms
+        took_ms = min(took_ms, OUTLIER_FACTOR * estimate_ms)
+        self._sum_weight = WEIGHT_DECAY * self._sum_weight + 1
+        self._sum_x = WEIGHT_DECAY * self._sum_x + tokens
+        self._sum_y = WEIGHT_DECAY * self._sum_y + took_ms
+        self._sum_xx = WEIGHT_DECAY * self._sum_xx + tokens * tokens
+        self._sum_xy = WEIGHT_DECAY * self._sum_xy + tokens * took_ms
+        self._refit()
+
+    def _refit(self) -> None:
+        weight, x, y, xx, xy = (
+            self._sum_weight,
+            self._sum_x,
+            self._sum_y,
+            self._sum_xx,
+            self._sum_xy,
+        )
+        for tokens in INITIAL_TOKENS:
+            expected_ms = INITIAL_BASE_MS + tokens * INITIAL_TOKEN_MS
+            weight += INITIAL_WEIGHT
+            x += INITIAL_WEIGHT * tokens
+            y += INITIAL_WEIGHT * expected_ms
+            xx += INITIAL_WEIGHT * tokens * tokens
+            xy += INITIAL_WEIGHT * tokens * expected_ms
         slope = (weight * xy - x * y) / (weight * xx - x * x)
         slope = min(MAX_TOKEN_MS, max(MIN_TOKEN_MS, slope))
-        base = min(MAX_BASE_MS, max(0.0, (y - slope * x) / weight))
-        self._line = (base, slope)
+        base_ms = min(MAX_BASE_MS, max(0.0, (y - slope * x) / weight))
+        self._fit = (base_ms, slope)
--- a/berylnotch/placement/hints.py
+++ b/berylnotch/placement/hints.py
@@ -1,4 +1,4 @@
-"""What cache events tell about the engines' caches."""
+"""Estimates of the engines' cache contents, derived from cache events."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @frozen
 class CacheEvent:
-    """One event of an engine's cache stream.
+    """One event from an engine's stream of cache changes.
 
     Parameters
     ----------
     target : str
         Name of the engine.
     incarnation : str
-        Process that sent it.
+        Process that sent the event.
     sequence : int
-        Number of the event in this incarnation's stream, from 1.
+        Sequence number in this incarnation's stream, counted from 1.
     stored, removed : tuple of bytes
-        Prefix hashes that entered and left the cache.
+        Hashes of the prefixes that were added to and evicted from the cache.
     """
 
     target: str
@@ -33,19 +33,21 @@
 
 @frozen
 class Hint:
-    """What is known of a chain in one engine's cache, in leading pieces.
+    """How much of a chain one engine probably caches, in leading blocks.
 
     Parameters
     ----------
-    known : int
-        Pieces that events or own requests tell of, with no gap since.
+    confirmed : int
+        Blocks reported by events or implied by this router's requests, with no gap in
+        the event stream since.
     likely : int
-        Pieces that were told of before a gap; at least ``known``.
+        Blocks that were reported before or after a gap; at least ``confirmed``.
     limit : int
-        Pieces above which one is known to be missing.
+        Upper bound: the index of the first block that is known to be evicted, or the
+        length of the chain.
     """
 
-    known: int
+    confirmed: int
     likely: int
     limit: int
 
@@ -53,7 +55,7 @@
 @define
 class _Entry:
     is_stored: bool
-    at: float
+    updated_at: float
     gaps: int
 
 
@@ -66,93 +68,97 @@
 
 
 class CacheHints:
-    """Late and gappy knowledge about cached prefixes.
+    """Cached prefixes of each engine, from events that may be late or missing.
 
-    Entries belong to an incarnation of an engine, and a new incarnation drops
-    all. A gap in the sequence may hide the removal of any entry, so nothing
-    held is known any more: what was stored is only likely, until it is told of
-    again, and what was removed is forgotten.
+    Entries belong to an incarnation of an engine; a new incarnation drops all of
+    them. A gap in the sequence numbers may hide the eviction of any entry, so no
+    entry from before the gap is confirmed any more: a stored prefix is only likely to
+    be cached until an event or a request confirms it again, and evictions from before
+    the gap are disregarded.
 
     Parameters
     ----------
     max_entries : int, default=16384
-        Entries kept for each engine; the oldest are dropped.
-    keep_s : float, default=30.0
-        Age at which an entry is no longer used.
+        Entries kept for each engine; the least recently updated are dropped.
+    ttl_s : float, default=30.0
+        Age in seconds after which an entry is no longer used.
     """
 
-    def __init__(self, max_entries: int = 16_384, keep_s: float = 30.0) -> None:
+    def __init__(self, max_entries: int = 16_384, ttl_s: float = 30.0) -> None:
         self._max_entries = max_entries
-        self._keep_s = keep_s
+        self._ttl_s = ttl_s
         self._streams: dict[str, _Stream] = {}
         self._retired: dict[str, OrderedDict[str, None]] = {}
 
     def apply(self, now: float, event: CacheEvent) -> None:
-        """Take an event; repeats and events of older incarnations are ignored."""
-        stream = self._stream(event.target, event.incarnation)
+        """Apply an event; ignore duplicates and events of ended incarnations."""
+        stream = self._stream_of(event.target, event.incarnation)
         if stream is None or event.sequence <= stream.sequence:
             return
         if event.sequence != stream.sequence + 1:
             stream.gaps += 1
         stream.sequence = event.sequence
         for prefix in event.stored:
-            self._put(stream, prefix, _Entry(True, now, stream.gaps))
+            self._put_entry(stream, prefix, _Entry(True, now, stream.gaps))
         for prefix in event.removed:
-            self._put(stream, prefix, _Entry(False, now, stream.gaps))
+            self._put_entry(stream, prefix, _Entry(False, now, stream.gaps))
 
-    def expect(
+    def record_request(
         self, now: float, target: str, incarnation: str, chain: Iterable[bytes]
     ) -> None:
-        """Note that a request with this chain was sent to the engine."""
+        """Record that a request with this chain was sent to the engine."""
         stream = self._streams.get(target)
         if stream is None or stream.incarnation != incarnation:
-            # Events tell of restarts more surely than a request does.
+            # Events are the more reliable evidence of a restart: the request may name
+            # an outdated incarnation.
             if stream is not None and stream.sequence:
                 return
             stream = _Stream(incarnation)
             self._streams[target] = stream
         for prefix in chain:
-            self._put(stream, prefix, _Entry(True, now, stream.gaps))
+            self._put_entry(stream, prefix, _Entry(True, now, stream.gaps))
 
     def forget(self, target: str) -> None:
-        """Drop an engine's entries, as when its process was lost."""
+        """Drop an engine's entries, for instance after the loss of its process."""
         stream = self._streams.get(target)
         if stream is not None:
             stream.entries.clear()
             stream.gaps += 1
 
-    def cached_pieces(
+    def cached_blocks(
         self, now: float, target: str, incarnation: str, chain: tuple[bytes, ...]
     ) -> Hint:
-        """Return what is known of a chain in an engine's cache."""
+        """Return how much of a chain an incarnation of an engine probably caches."""
         stream = self._streams.get(target)
         if stream is None or stream.incarnation != incarnation:
             return Hint(0, 0, len(chain))
-        if not _is_touched(stream, chain):
+        if not _may_be_cached(stream, chain):
             return Hint(0, 0, len(chain))
-        known, likely = 0, 0
-        oldest = now - self._keep_s
+        confirmed, likely = 0, 0
+        oldest = now - self._ttl_s
         for index, prefix in enumerate(chain):
             entry = stream.entries.get(prefix)
-            if entry is None or entry.at < oldest:
+            if entry is None or entry.updated_at < oldest:
                 continue
             is_confirmed = entry.gaps == stream.gaps
             if entry.is_stored:
                 likely = index + 1
-                known = likely if is_confirmed else known
+                confirmed = likely if is_confirmed else confirmed
             elif is_confirmed:
-                return Hint(known, likely, index)
-        return Hint(known, likely, len(chain))
+                return Hint(confirmed, likely, index)
+        return Hint(confirmed, likely, len(chain))
 
-    def newest(self, now: float, target: str, chain: tuple[bytes, ...]) -> Hint:
-        """Return what is known of a chain in the newest process's cache."""
+    def newest_cached_blocks(
+        self, now: float, target: str, chain: tuple[bytes, ...]
+    ) -> Hint:
+        """Return how much of a chain an engine's newest incarnation caches."""
         stream = self._streams.get(target)
         if stream is None:
             return Hint(0, 0, len(chain))
-        return self.cached_pieces(now, target, stream.incarnation, chain)
+        return self.cached_blocks(now, target, stream.incarnation, chain)
 
-    def _stream(self, target: str, incarnation: str) -> _Stream | None:
-        """Return the stream of an incarnation, or None if it is over."""
+    def _stream_of(self, target: str, incarnation: str) -> _Stream | None:
+        """Return the stream of an incarnation, or None if the incarnation has ended."""
         stream = self._streams.get(target)
         if stream is not None and stream.incarnation == incarnation:
             return stream
@@ -167,18 +173,22 @@
     def _retire(self, target: str, incarnation: str) -> None:
         retired = self._retired.setdefault(target, OrderedDict())
         retired[incarnation] = None
-        while len(retired) > _RETIRED_MAX:
+        while len(retired) > _MAX_RETIRED:
             retired.popitem(last=False)
 
-    def _put(self, stream: _Stream, prefix: bytes, entry: _Entry) -> None:
+    def _put_entry(self, stream: _Stream, prefix: bytes, entry: _Entry) -> None:
         stream.entries[prefix] = entry
         stream.entries.move_to_end(prefix)
         while len(stream.entries) > self._max_entries:
             stream.entries.popitem(last=False)
 
 
-def _is_touched(stream: _Stream, chain: tuple[bytes, ...]) -> bool:
-    """Look at three pieces only: caches evict the deepest pieces first."""
+def _may_be_cached(stream: _Stream, chain: tuple[bytes, ...]) -> bool:
+    """Check the first, middle and last block only, to save time on long chains.
+
+    Caches evict the deepest blocks first, so a partly cached chain still has its first
+    blocks.
+    """
     if not chain:
         return False
     entries = stream.entries
@@ -186,5 +196,6 @@
     return chain[0] in entries or middle in entries or chain[-1] in entries
 
 
-#: Incarnations of an engine that are remembered as over.
-_RETIRED_MAX = 16
+#: Ended incarnations that are remembered for each engine, so that their late events
+#: are ignored.
+_MAX_RETIRED = 16
--- a/berylnotch/placement/homes.py
+++ b/berylnotch/placement/homes.py
@@ -1,4 +1,7 @@
-"""Homes of prefixes among many targets, found without a look at each."""
+"""Consistent-hash ring that finds the homes of a prefix among many targets.
+
+The homes of a prefix are the targets that are preferred for it.
+"""
 
 from __future__ import annotations
 
@@ -8,29 +11,30 @@
 
 from berylnotch.placement.rendezvous import prefix_key
 
-#: Points of each target on the ring. More even out the targets' shares.
+#: Points of each target on the ring. More points make the targets' shares more even.
 POINTS = 64
 
 _POINT_BITS = 61
 _INDEX_BITS = 16
 
-#: Distance on the ring between two turns.
-_TURN_STEP = 0x9E3779B97F4A7C15
+#: Distance on the ring between two groups of homes.
+_GROUP_STEP = 0x9E3779B97F4A7C15
 
 
-class HomeTable:
-    """A ring of hash points that lists the homes of a prefix.
+class HomeRing:
+    """Ring of hash points that lists the homes of a prefix.
 
-    Where all targets are ranked, rendezvous hashing is used alone. It needs a
-    look at each target, which takes too long for hundreds, so the ring selects
-    the few that are ranked. Taking a target away moves only its own prefixes.
+    Rendezvous hashing computes a weight for each target. With hundreds of targets this
+    takes too long, so the ring first selects the few targets that are ranked. Small
+    services use rendezvous hashing alone. Removing a target reassigns only its own
+    prefixes.
 
     Parameters
     ----------
     names : tuple of str
-        Targets of a service, at most 65,536.
+        Names of a service's targets, at most 65,536.
     count : int
-        Targets listed for a prefix.
+        Targets returned for a prefix.
     """
 
     def __init__(self, names: tuple[str, ...], count: int) -> None:
@@ -44,24 +48,24 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Targets of the service."""
+        """Names of the service's targets."""
         return self._names
 
-    def homes(self, prefix: bytes, turn: int = 0) -> tuple[str, ...]:
-        """Return the targets that follow a prefix on the ring.
+    def homes(self, prefix: bytes, group: int = 0) -> tuple[str, ...]:
+        """Return the targets whose points follow a prefix on the ring.
 
-        Each ``turn`` selects others, for prefixes that need more targets than
-        are listed at once.
+        Each ``group`` starts at another position of the ring, for prefixes that need
+        more homes than one call returns.
         """
         ring = self._ring
         mask = (1 << _INDEX_BITS) - 1
-        key = (prefix_key(prefix) + turn * _TURN_STEP) % (1 << _POINT_BITS)
+        key = (prefix_key(prefix) + group * _GROUP_STEP) % (1 << _POINT_BITS)
         position = bisect_left(ring, key << _INDEX_BITS)
-        found: dict[int, None] = {}
-        while len(found) < self._count:
-            found[ring[position % len(ring)] & mask] = None
+        indexes: dict[int, None] = {}
+        while len(indexes) < self._count:
+            indexes[ring[position % len(ring)] & mask] = None
             position += 1
-        return tuple(self._names[index] for index in found)
+        return tuple(self._names[index] for index in indexes)
 
 
 def _points(name: str) -> tuple[int, ...]:
--- a/berylnotch/placement/hot.py
+++ b/berylnotch/placement/hot.py
@@ -1,4 +1,4 @@
-"""Rates of prefixes, from which the number of their homes follows."""
+"""Request rates of prefixes, from which the number of their homes is derived."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @define
 class _Rate:
-    weight: float
-    at: float
+    decayed_count: float
+    updated_at: float
 
 
 class HotPrefixes:
-    """Decayed rates of the prefixes that this router placed.
+    """Exponentially decayed request rates of the prefixes that this router placed.
 
     Parameters
     ----------
     settings : PlacementSettings
-        Time constant, size, and how many engines a rate keeps warm.
+        Time constant, size limits, and the retention time of the engines' caches.
     """
 
     def __init__(self, settings: PlacementSettings) -> None:
@@ -37,11 +37,11 @@
     def __len__(self) -> int:
         return len(self._rates)
 
-    def count(self, now: float, chain: tuple[bytes, ...]) -> None:
+    def record_request(self, now: float, chain: tuple[bytes, ...]) -> None:
         """Count a placed request for each of its prefixes.
 
-        Levels that were not seen before are added a few at a time, so that a
-        prompt that nobody repeats takes little room.
+        One request adds at most ``max_new_rates`` new prefixes, so that a prompt that
+        is not repeated takes little memory.
         """
         if self._started_at is None:
             self._started_at = now
@@ -50,71 +50,82 @@
             prefix = chain[depth - 1]
             rate = self._rates.get(prefix)
             if rate is not None:
-                rate.weight = 1.0 + self._decayed(now, rate)
-                rate.at = now
+                rate.decayed_count = 1.0 + self._decayed(now, rate)
+                rate.updated_at = now
                 self._rates.move_to_end(prefix)
                 continue
             self._rates[prefix] = _Rate(1.0, now)
             added += 1
-            if added == self._settings.hot_new_levels:
+            if added == self._settings.max_new_rates:
                 break
-        while len(self._rates) > self._settings.hot_max:
+        while len(self._rates) > self._settings.max_rates:
             self._rates.popitem(last=False)
 
     def levels(
         self, now: float, chain: tuple[bytes, ...], above_share: bool = False
     ) -> tuple[Level, ...]:
-        """Return the homes of a prompt's prefixes, down to the first with one.
+        """Return the number of homes for a prompt's prefixes, shallowest first.
 
-        Only the depths 1, 2, 4, ... and the whole prompt select homes. So
-        routers that know different rates, or none yet, select by the same
-        hashes.
+        The last level returned is the first with a single home. Only the depths 1, 2,
+        4, ... and the whole prompt select homes, so that routers with different rates,
+        or without rates, select by the same hashes.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         chain : tuple of bytes
-            Hashes of the prompt's prefixes.
+            Prefix hashes of the prompt.
         above_share : bool, default=False
-            Whether the organisation uses more than its share.
+            Whether the organisation uses more than its share; its prefixes then get
+            fewer homes.
 
         Returns
         -------
         tuple of Level
-            Empty while too little was counted; ranking then uses its default.
+            Empty until the rates are usable; ranking then uses its default level.
         """
         if self._started_at is None:
             return ()
         age = now - self._started_at
-        if age < self._settings.hot_warmup_s:
+        if age < self._settings.rate_warmup_s:
             return ()
-        # The correction makes the estimate right from the first seconds on.
-        tau = self._settings.hot_tau_s
-        seconds = tau * -math.expm1(-age / tau)
-        warm_s = self._settings.busy_warm_s if above_share else self._settings.warm_s
-        warm = warm_s * self._settings.answer_routers / seconds
+        # The effective window is shorter than the time constant at first; without
+        # this correction, rates would be too low in the first seconds.
+        time_constant_s = self._settings.rate_time_constant_s
+        window_s = time_constant_s * -math.expm1(-age / time_constant_s)
+        retention_s = (
+            self._settings.over_share_retention_s
+            if above_share
+            else self._settings.retention_s
+        )
+        homes_per_count = (
+            retention_s * self._settings.routers_per_organisation / window_s
+        )
         levels = []
         for depth in level_depths(len(chain)):
-            homes = self._homes(now, chain[depth - 1], warm)
+            homes = self._home_count(now, chain[depth - 1], homes_per_count)
             levels.append(Level(depth, homes))
             if homes == 1:
                 break
         return tuple(levels)
 
-    def _homes(self, now: float, prefix: bytes, warm: float) -> int:
+    def _home_count(self, now: float, prefix: bytes, homes_per_count: float) -> int:
         rate = self._rates.get(prefix)
-        keeps = int(warm * self._decayed(now, rate)) if rate else 0
-        # Powers of two, so that routers with other rates mostly agree.
-        return 1 << max(0, keeps.bit_length() - 1)
+        sustained_homes = int(homes_per_count * self._decayed(now, rate)) if rate else 0
+        # Rounded down to a power of two, so that routers with slightly different rates
+        # mostly select the same homes.
+        return 1 << max(0, sustained_homes.bit_length() - 1)
 
     def _decayed(self, now: float, rate: _Rate) -> float:
-        return rate.weight * math.exp((rate.at - now) / self._settings.hot_tau_s)
+        return rate.decayed_count * math.exp(
+            (rate.updated_at - now) / self._settings.rate_time_constant_s
+        )
 
 
-def level_depths(pieces: int) -> tuple[int, ...]:
-    """Return the depths that select homes: 1, 2, 4, ... and the last."""
-    depths = [1 << bit for bit in range(pieces.bit_length())]
-    if depths and depths[-1] != pieces:
-        depths.append(pieces)
+def level_depths(blocks: int) -> tuple[int, ...]:
+    """Return the depths that select homes: 1, 2, 4, ... and the whole chain."""
+    depths = [1 << bit for bit in range(blocks.bit_length())]
+    if depths and depths[-1] != blocks:
+        depths.append(blocks)
     return tuple(depths)
--- a/berylnotch/placement/mirror.py
+++ b/berylnotch/placement/mirror.py
@@ -1,8 +1,9 @@
-"""Which shared prompts engines and stores probably hold, over all routers.
+"""Estimated KV cache contents of engines and KV stores, shared between the routers.
 
-Each router notes the prompts that its requests had read, and hears the notes of the
-others. An engine's memory is mirrored as a list of least recently used beginnings of
-prompts, each by the mark of its last part (`berylnotch.placement.chains`).
+Each router records the shared prefixes that engines prefill for its requests, sends
+these records to the other routers as notes, and applies their notes. An engine's cache
+is modelled as a list of prefixes in least recently used order. A prefix is identified
+by the 32-bit hash of its path (`berylnotch.placement.chains.prompt_mark`).
 """
 
 from __future__ import annotations
@@ -16,27 +17,27 @@
 
 from berylnotch.group.messages import PromptNote
 
-#: Part of an engine's memory that holds prompts; what requests generate, and what is
-#: not known of other routers, takes the rest.
-PROMPTS_PART = 0.92
+#: Share of an engine's KV cache that holds prompts. The rest is left for generated
+#: tokens, and for requests of other routers of which no note has arrived.
+PROMPT_CACHE_SHARE = 0.92
 
-#: Seconds for which a prompt that was sent to a store counts as held there. A store
-#: drops what was not used for longest.
-SAVED_S = 60.0
+#: Seconds for which a prefix that was sent to a KV store counts as cached there. The
+#: time is limited because a store evicts the least recently used prefixes.
+STORE_ENTRY_TTL_S = 60.0
 
-#: Seconds after which a prompt that an engine was about to read counts as not held;
-#: callers leave about then, and the engine drops their requests.
-READING_S = 4.0
+#: Seconds after which a pending prefill no longer counts as cached. Callers disconnect
+#: after about this time, and the engine drops their requests.
+PENDING_PREFILL_TTL_S = 4.0
 
-#: Prompts of stores that are remembered at once.
-MAX_SAVED = 8192
+#: Most entries for KV stores; the oldest entries are dropped.
+MAX_STORE_ENTRIES = 8192
 
-#: Notes that wait for the next report; more are dropped.
-MAX_NOTES = 256
+#: Most notes that are queued for the next report; further notes are dropped.
+MAX_QUEUED_NOTES = 256
 
 
 class Holding(Enum):
-    """Whether an engine probably holds a prompt."""
+    """State of a prefix in an engine's cache, as estimated by a router."""
 
     NONE = "none"
     READING = "reading"
@@ -45,16 +46,16 @@
 
 @frozen
 class Run:
-    """Levels of a chain that an engine holds, from the first on.
+    """Number of leading levels of a chain that an engine probably caches.
 
     Parameters
     ----------
     ready : int
-        Levels that it has read.
+        Leading levels whose prefill is complete.
     coming : int
-        The same with those that it is about to read.
+        Leading levels whose prefill is complete or pending; at least ``ready``.
     used_at : float
-        When the deepest level that it has read was last used.
+        Router's time in seconds at which the deepest complete level was last used.
     """
 
     ready: int = 0
@@ -62,192 +63,200 @@
     used_at: float = field(default=0.0, eq=False)
 
 
-#: Run of an engine that holds nothing of a prompt.
+#: Run of an engine that caches no level of a chain.
 NO_RUN = Run()
 
 
 @define
-class _Entry:
-    """A prompt in an engine's memory."""
+class _CacheEntry:
+    """An entry in the modelled cache of an engine."""
 
     tokens: int
     is_ready: bool
-    noted_at: float = 0.0
+    used_at: float = 0.0
 
 
 @define
-class _Memory:
-    """Prompts of one engine by their marks, the least recently used first.
+class _EngineCache:
+    """Modelled cache of one engine: entries by prefix hash, least recently used first.
 
-    Keys below zero stand for the rest of prompts, which nobody looks for.
+    Negative keys stand for the unshared rests of prompts. They are never looked up, but
+    take up cache space.
     """
 
-    prompts: OrderedDict[int, _Entry] = field(factory=OrderedDict)
+    entries: OrderedDict[int, _CacheEntry] = field(factory=OrderedDict)
     tokens: int = 0
 
 
 class PromptMemory:
-    """Mirror of what engines and stores hold."""
+    """Model of the prefixes that engines and KV stores probably cache."""
 
     def __init__(self) -> None:
-        self._engines: dict[str, _Memory] = {}
-        #: Engines by the marks that they hold or read.
+        self._caches: dict[str, _EngineCache] = {}
+        #: Engines that cache or prefill a prefix, by prefix hash.
         self._holders: dict[int, set[str]] = {}
-        self._saved: OrderedDict[tuple[str, int], float] = OrderedDict()
-        #: Tokens of prompts that no note told of, by the engine that read them.
-        self._untold: dict[str, int] = {}
+        self._store_entries: OrderedDict[tuple[str, int], float] = OrderedDict()
+        #: Tokens of prompts that no note has reported yet, by the engine that prefills
+        #: them.
+        self._unreported_tokens: dict[str, int] = {}
         self._notes: list[PromptNote] = []
-        self._reads = 0
+        self._unshared_count = 0
 
-    def holding(self, now: float, target_id: str, prompt: int) -> Holding:
-        """Tell whether an engine probably holds a prompt, or is about to."""
-        memory = self._engines.get(target_id)
-        entry = memory.prompts.get(prompt) if memory is not None else None
+    def holding(self, now: float, target_id: str, prefix_hash: int) -> Holding:
+        """Return the estimated state of a prefix in an engine's cache."""
+        cache = self._caches.get(target_id)
+        entry = cache.entries.get(prefix_hash) if cache is not None else None
         if entry is None:
             return Holding.NONE
         if entry.is_ready:
             return Holding.READY
-        is_fresh = now - entry.noted_at < READING_S
-        return Holding.READING if is_fresh else Holding.NONE
+        is_pending = now - entry.used_at < PENDING_PREFILL_TTL_S
+        return Holding.READING if is_pending else Holding.NONE
 
-    def run(self, now: float, target_id: str, marks: Sequence[int]) -> Run:
-        """Return the longest run of a chain that an engine probably holds."""
-        if target_id not in self._engines:
+    def run(self, now: float, target_id: str, hashes: Sequence[int]) -> Run:
+        """Return the leading levels of a chain that an engine probably caches."""
+        if target_id not in self._caches:
             return NO_RUN
         ready = coming = 0
         used_at = 0.0
-        for count in range(len(marks), 0, -1):
-            holding = self.holding(now, target_id, marks[count - 1])
+        for count in range(len(hashes), 0, -1):
+            holding = self.holding(now, target_id, hashes[count - 1])
             if holding is not Holding.NONE and not coming:
                 coming = count
             if holding is Holding.READY:
                 ready = count
-                used_at = self._engines[target_id].prompts[marks[count - 1]].noted_at
+                used_at = self._caches[target_id].entries[hashes[count - 1]].used_at
                 break
         return Run(ready, coming, used_at) if coming else NO_RUN
 
     def holders(
-        self, marks: Sequence[int], limit: int, draw: Callable[[int], int]
+        self, hashes: Sequence[int], limit: int, draw: Callable[[int], int]
     ) -> set[str]:
-        """Return engines that may hold a level of a chain, or read it.
+        """Return engines that may cache or prefill a level of a chain.
 
-        Those with the longest runs come first; of more than are wanted with the same
-        run, which ones is left to chance.
+        Engines with deeper levels are preferred. If more engines share a level than
+        there is room for, a random contiguous selection of them is taken.
 
         Parameters
         ----------
-        marks : sequence of int
-            Marks of the chain's levels.
+        hashes : sequence of int
+            Prefix hashes of the chain's levels.
         limit : int
             Most engines to return.
         draw : callable
-            Returns a random number below a given one.
+            Returns a random integer from 0 up to, but excluding, its argument.
         """
-        found: set[str] = set()
-        for mark in reversed(marks):
-            names = self._holders.get(mark, ())
-            room = limit - len(found)
-            first = draw(len(names) - room + 1) if len(names) > room else 0
-            found.update(islice(names, first, first + room))
-            if len(found) >= limit:
+        selected: set[str] = set()
+        for prefix_hash in reversed(hashes):
+            engines = self._holders.get(prefix_hash, ())
+            room = limit - len(selected)
+            first = draw(len(engines) - room + 1) if len(engines) > room else 0
+            selected.update(islice(engines, first, first + room))
+            if len(selected) >= limit:
                 break
-        return found
+        return selected
 
-    def saved_levels(self, now: float, store: str, marks: Sequence[int]) -> int:
-        """Return how many levels of a chain a store probably holds."""
-        for count in range(len(marks), 0, -1):
-            if self.is_saved(now, store, marks[count - 1]):
+    def saved_levels(self, now: float, store: str, hashes: Sequence[int]) -> int:
+        """Return how many leading levels of a chain a KV store probably caches."""
+        for count in range(len(hashes), 0, -1):
+            if self.is_saved(now, store, hashes[count - 1]):
                 return count
         return 0
 
     def fill(self, target_id: str, tokens: int) -> None:
-        """Note that an engine reads a prompt that nobody looks for."""
-        self._untold[target_id] = self._untold.get(target_id, 0) + tokens
+        """Record that an engine prefills a prompt without shared levels.
 
-    def is_saved(self, now: float, store: str, prompt: int) -> bool:
-        """Tell whether a store probably holds a prompt."""
-        saved_at = self._saved.get((store, prompt))
-        return saved_at is not None and now - saved_at < SAVED_S
+        The tokens are added to the next note of a pending prefill at the engine, so
+        that other routers account for the cache space.
+        """
+        self._unreported_tokens[target_id] = (
+            self._unreported_tokens.get(target_id, 0) + tokens
+        )
+
+    def is_saved(self, now: float, store: str, prefix_hash: int) -> bool:
+        """Return whether a KV store probably caches a prefix."""
+        saved_at = self._store_entries.get((store, prefix_hash))
+        return saved_at is not None and now - saved_at < STORE_ENTRY_TTL_S
 
     def read(self, now: float, note: PromptNote, capacity: int) -> None:
-        """Note that an engine reads a prompt, and tell the other routers."""
+        """Record a pending or complete prefill, and queue a note for other routers."""
         if not note.is_ready:
-            untold = self._untold.pop(note.holder, 0)
-            if untold:
-                note = evolve(note, own_tokens=note.own_tokens + untold)
-        self._take_read(now, note, capacity)
-        self._add(note)
-
-    def not_read(self, target_id: str, prompt: int) -> None:
-        """Note that an engine has not read a prompt after all."""
-        memory = self._engines.get(target_id)
-        entry = memory.prompts.get(prompt) if memory is not None else None
+            unreported_tokens = self._unreported_tokens.pop(note.holder, 0)
+            if unreported_tokens:
+                note = evolve(note, own_tokens=note.own_tokens + unreported_tokens)
+        self._record_prefill(now, note, capacity)
+        self._queue_note(note)
+
+    def not_read(self, target_id: str, prefix_hash: int) -> None:
+        """Remove the entry of a pending prefill that the engine did not complete."""
+        cache = self._caches.get(target_id)
+        entry = cache.entries.get(prefix_hash) if cache is not None else None
         if entry is not None and not entry.is_ready:
-            self._drop(memory, target_id, prompt)
+            self._evict(cache, target_id, prefix_hash)
 
     def saved(self, now: float, note: PromptNote) -> None:
-        """Note that a prompt is sent to a store, and tell the other routers."""
-        self._take_saved(now, note)
-        self._add(note)
+        """Record the transfer of a prefix to a KV store, and queue a note of it."""
+        self._record_saved(now, note)
+        self._queue_note(note)
 
     def hear(self, now: float, note: PromptNote, capacity: int | None) -> None:
-        """Take a note of another router; a store has no capacity."""
+        """Apply a note of another router; ``capacity`` is None for a KV store."""
         if capacity is None:
-            self._take_saved(now, note)
+            self._record_saved(now, note)
         else:
-            self._take_read(now, note, capacity)
+            self._record_prefill(now, note, capacity)
 
     def take_notes(self) -> tuple[PromptNote, ...]:
-        """Return the notes for the other routers, and forget them."""
+        """Return the queued notes for the other routers, and clear the queue."""
         notes, self._notes = tuple(self._notes), []
         return notes
 
     def forget_engine(self, target_id: str) -> None:
-        """Forget what an engine held, since it started again or is gone."""
-        memory = self._engines.pop(target_id, None)
-        self._untold.pop(target_id, None)
-        for mark in memory.prompts if memory is not None else ():
-            self._forget_holder(mark, target_id)
+        """Drop the entries of an engine that has restarted or is gone."""
+        cache = self._caches.pop(target_id, None)
+        self._unreported_tokens.pop(target_id, None)
+        for prefix_hash in cache.entries if cache is not None else ():
+            self._remove_holder(prefix_hash, target_id)
 
     def forget_stores(self) -> None:
-        """Forget what stores hold, as after a loss of one."""
-        self._saved.clear()
+        """Drop all entries of KV stores, for instance after the loss of a store."""
+        self._store_entries.clear()
 
-    def _add(self, note: PromptNote) -> None:
-        if len(self._notes) < MAX_NOTES:
+    def _queue_note(self, note: PromptNote) -> None:
+        if len(self._notes) < MAX_QUEUED_NOTES:
             self._notes.append(note)
 
-    def _take_saved(self, now: float, note: PromptNote) -> None:
+    def _record_saved(self, now: float, note: PromptNote) -> None:
         key = (note.holder, note.prompt)
-        self._saved[key] = now
-        self._saved.move_to_end(key)
-        while len(self._saved) > MAX_SAVED:
-            self._saved.popitem(last=False)
-
-    def _take_read(self, now: float, note: PromptNote, capacity: int) -> None:
-        memory = self._engines.setdefault(note.holder, _Memory())
-        known = memory.prompts.pop(note.prompt, None)
-        was_ready = known is not None and known.is_ready
-        memory.tokens += note.tokens - (known.tokens if known else 0)
-        memory.prompts[note.prompt] = _Entry(
+        self._store_entries[key] = now
+        self._store_entries.move_to_end(key)
+        while len(self._store_entries) > MAX_STORE_ENTRIES:
+            self._store_entries.popitem(last=False)
+
+    def _record_prefill(self, now: float, note: PromptNote, capacity: int) -> None:
+        cache = self._caches.setdefault(note.holder, _EngineCache())
+        previous = cache.entries.pop(note.prompt, None)
+        was_ready = previous is not None and previous.is_ready
+        cache.tokens += note.tokens - (previous.tokens if previous else 0)
+        cache.entries[note.prompt] = _CacheEntry(
             note.tokens, note.is_ready or was_ready, now
         )
         self._holders.setdefault(note.prompt, set()).add(note.holder)
         if note.own_tokens:
-            # The rest of a prompt is of no use to others, but takes its place.
-            self._reads += 1
-            memory.prompts[-self._reads] = _Entry(note.own_tokens, False)
-            memory.tokens += note.own_tokens
-        while memory.tokens > capacity * PROMPTS_PART and len(memory.prompts) > 1:
-            self._drop(memory, note.holder, next(iter(memory.prompts)))
-
-    def _drop(self, memory: _Memory, holder: str, mark: int) -> None:
-        memory.tokens -= memory.prompts.pop(mark).tokens
-        self._forget_holder(mark, holder)
-
-    def _forget_holder(self, mark: int, holder: str) -> None:
-        holders = self._holders.get(mark)
+            # The unshared rest of a prompt gives no cache hits, but takes up space.
+            self._unshared_count += 1
+            cache.entries[-self._unshared_count] = _CacheEntry(note.own_tokens, False)
+            cache.tokens += note.own_tokens
+        while cache.tokens > capacity * PROMPT_CACHE_SHARE and len(cache.entries) > 1:
+            self._evict(cache, note.holder, next(iter(cache.entries)))
+
+    def _evict(self, cache: _EngineCache, holder: str, prefix_hash: int) -> None:
+        cache.tokens -= cache.entries.pop(prefix_hash).tokens
+        self._remove_holder(prefix_hash, holder)
+
+    def _remove_holder(self, prefix_hash: int, holder: str) -> None:
+        holders = self._holders.get(prefix_hash)
         if holders is not None:
             holders.discard(holder)
             if not holders:
-                del self._holders[mark]
+                del self._holders[prefix_hash]
--- a/berylnotch/placement/mixing.py
+++ b/berylnotch/placement/mixing.py
@@ -1,4 +1,4 @@
-"""A light hash for rendezvous, for processes without a cryptographic library."""
+"""Rendezvous weights for processes that load no cryptographic library."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @lru_cache(maxsize=8192)
 def mix(node: str, key: str) -> int:
-    """Return the rendezvous weight of a node for a key; the lowest is best.
+    """Return the rendezvous weight of a node for a key; the lowest weight wins.
 
-    It is the same in every process. A checksum spreads the names, and the
-    finalizer of a 64-bit hash the bits.
+    The weight is equal in every process. It combines the checksums of the two
+    strings, and the finalizer of a 64-bit hash (MurmurHash3) spreads the bits.
     """
     value = zlib.crc32(node.encode()) << 32 | zlib.crc32(key.encode())
     value = (value ^ value >> 33) * 0xFF51AFD7ED558CCD & _MASK
--- a/berylnotch/placement/model.py
+++ b/berylnotch/placement/model.py
@@ -1,4 +1,4 @@
-"""Values that placement takes and gives."""
+"""Input and output types of placement."""
 
 from __future__ import annotations
 
@@ -7,28 +7,29 @@
 
 @frozen
 class Candidate:
-    """A target as one router sees it.
+    """A target's state as known to one router.
 
     Parameters
     ----------
     name : str
-        Name of the target in the operators' text.
+        Name of the target in the operators' configuration.
     incarnation : str
-        Identity of the running process; empty if not known.
+        Identity of the running process; empty if unknown.
     failure_domain : str
-        Where the target runs.
+        Failure domain in which the target runs.
     weights : str
-        Weights version it serves; empty while it loads or if it has none.
+        Weights version that the target serves; empty while it loads weights or if
+        it has none.
     queue_wait_s : float
-        Expected wait before the target starts on a new request.
+        Expected queueing time of a new request, in seconds.
     in_flight : int
-        Requests of this router that run there.
+        Requests that this router has in flight at the target.
     capacity : int
-        Requests that the target runs at once; 0 if not known.
+        Requests that the target runs concurrently; 0 if unknown.
     draining : bool
-        Whether it must get no new work.
+        Whether the target is draining and must get no new requests.
     ejected : bool
-        Whether it is left out after failures.
+        Whether outlier ejection excludes the target after failures.
     """
 
     name: str
@@ -43,13 +44,13 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether the target may get new work."""
+        """Whether the target may get new requests."""
         return not (self.draining or self.ejected)
 
 
 @frozen
 class Level:
-    """Number of homes of the prefix with ``depth`` pieces."""
+    """Number of homes (preferred targets) of the prefix of ``depth`` blocks."""
 
     depth: int
     homes: int
@@ -62,27 +63,28 @@
     Parameters
     ----------
     chain : tuple of bytes
-        Hashes of the prompt's full pieces; empty without affinity.
+        Prefix hashes, one for each full block of the prompt; empty without
+        affinity.
     prompt_pieces : int
-        Pieces in the prompt, a partial last one included.
+        Blocks in the prompt, including a partial last block.
     failure_domain : str
-        Where the router runs.
+        Failure domain in which the router runs.
     exclude : frozenset of str
-        Targets already tried.
+        Targets that earlier attempts of the request used; they are not ranked.
     weights : str
-        Weights version that the chain was made for; other targets are left
-        out. Empty if the service has no weights.
+        Weights version for which the chain was computed; targets with other
+        weights are not ranked. Empty if the service has no weights.
     levels : tuple of Level
         Levels of the chain that select homes, shallowest first; empty for the
-        default.
+        default level.
     now : float
         Router's monotonic time in seconds.
     stores : tuple of str
-        KV stores that engines may import from.
+        KV stores from which engines may import blocks.
     """
 
     chain: tuple[bytes, ...] = ()
-    prompt_pieces: int = 0
+    prompt_blocks: int = 0
     failure_domain: str = ""
     exclude: frozenset[str] = frozenset()
     weights: str = ""
@@ -100,17 +102,18 @@
     name : str
         Name of the target.
     score_ms : float
-        Expected wait and prompt computation; lower is better.
+        Expected queueing, import and prefill time in ms, with weights and penalties;
+        lower is better.
     reason : str
-        Parts of the score, for operators.
+        Components of the score, shown to operators.
     cached_pieces : int
-        Leading pieces expected in the target's cache.
+        Leading blocks expected in the target's cache.
     incarnation, weights : str
-        Process and weights version that were ranked.
+        Process and weights version for which the target was ranked.
     import_from : str
-        Target or KV store to import pieces from; empty to compute them.
+        Target or KV store from which to import blocks; empty to compute them.
     import_pieces : int
-        Leading pieces that are there.
+        Leading blocks known to be cached at ``import_from``.
     """
 
     name: str
--- a/berylnotch/placement/placer.py
+++ b/berylnotch/placement/placer.py
@@ -1,4 +1,4 @@
-"""Placement as one router does it: chains, ranking and what was learned."""
+"""Placement of one router's requests: prefix chains, ranking and learned state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from berylnotch.placement.chain import Scope, hash_chain
 from berylnotch.placement.hints import CacheEvent, CacheHints
-from berylnotch.placement.homes import HomeTable
+from berylnotch.placement.homes import HomeRing
 from berylnotch.placement.hot import HotPrefixes
 from berylnotch.placement.model import Candidate, Level, Query, Ranked
 from berylnotch.placement.rank import rank
@@ -29,57 +29,57 @@
     Parameters
     ----------
     organisation, service : str
-        Whose request it is and what it asks.
+        Organisation that sends the request, and service that the request addresses.
     data : bytes
-        The prompt as the engine will see it.
-    piece_bytes : int
-        Length of a piece.
+        The prompt as the engine receives it.
+    block_bytes : int
+        Length of a block in bytes.
     """
 
     def __init__(
-        self, organisation: str, service: str, data: bytes, piece_bytes: int
+        self, organisation: str, service: str, data: bytes, block_bytes: int
     ) -> None:
         self._organisation = organisation
         self._service = service
         self._data = data
-        self._piece_bytes = piece_bytes
+        self._block_bytes = block_bytes
         self._chains: dict[str, tuple[bytes, ...]] = {}
 
     @property
     def pieces(self) -> int:
-        """Pieces of the prompt, a partial last one included."""
-        return -(-len(self._data) // self._piece_bytes)
+        """Number of blocks of the prompt, including a partial last block."""
+        return -(-len(self._data) // self._block_bytes)
 
     def chain(self, weights: str) -> tuple[bytes, ...]:
-        """Return the chain under a weights version."""
-        found = self._chains.get(weights)
-        if found is None:
+        """Return the chain of prefix hashes for a weights version."""
+        chain = self._chains.get(weights)
+        if chain is None:
             scope = Scope(self._organisation, self._service, weights)
-            found = hash_chain(scope, self._data, self._piece_bytes)
-            self._chains[weights] = found
-        return found
+            chain = hash_chain(scope, self._data, self._block_bytes)
+            self._chains[weights] = chain
+        return chain
 
 
 @frozen
 class PlacementRequest:
-    """What to place, from where, and what to leave out.
+    """A request to be placed, with the constraints on its targets.
 
     Parameters
     ----------
     prompt : Prompt
-        The prompt.
+        The prompt and its chains.
     failure_domain : str
-        Where the router runs.
+        Failure domain in which the router runs.
     exclude : frozenset of str
-        Targets that are left out.
+        Targets that must not be used.
     weights : str
-        Weights version that must be used, as when a stream is resumed; any if
-        empty.
+        Weights version that must be used, for instance to resume a stream; empty
+        allows any version.
     stores : tuple of str
-        KV stores that the service's engines may import from.
+        KV stores from which the service's engines may import blocks.
     priority : int, default=4
-        The organisation's priority, 0 (best) to 9; above 4 it uses more than its
-        share and gets fewer homes.
+        The organisation's priority from 0 (most urgent) to 9. Above 4 the organisation
+        uses more than its share, and its prefixes get fewer homes.
     """
 
     prompt: Prompt
@@ -91,31 +91,31 @@
 
 
 @frozen
-class _Levels:
+class _CachedLevels:
     now: float
     chain: tuple[bytes, ...]
     levels: tuple[Level, ...]
 
 
 class Placer:
-    """Ranks targets, and learns from cache events and its own choices.
+    """Ranks targets by affinity and load, and by observed cache contents and rates.
 
-    A new placer ranks by affinity and load alone, so it has to learn nothing
-    before its first decision.
+    A new placer ranks by affinity and load alone, so its first decision needs no
+    observations.
 
     Parameters
     ----------
     settings : PlacementSettings
-        Costs, widths and bounds.
+        Costs, confidence factors and size limits.
     """
 
     def __init__(self, settings: PlacementSettings) -> None:
         self._settings = settings
-        self._hints = CacheHints(settings.hint_max, settings.hint_keep_s)
+        self._hints = CacheHints(settings.max_hints, settings.hint_ttl_s)
         self._hot = HotPrefixes(settings)
-        self._turn = 0
-        self._last: _Levels | None = None
-        self._homes: dict[str, HomeTable] = {}
+        self._rotation = 0
+        self._cached_levels: _CachedLevels | None = None
+        self._home_rings: dict[str, HomeRing] = {}
 
     def shortlist(
         self,
@@ -124,55 +124,56 @@
         service: Service,
         names: tuple[str, ...],
     ) -> tuple[str, ...]:
-        """Return the targets that are worth a look; all of a small service.
+        """Return the targets to be ranked; for a small service, all of them.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         request : PlacementRequest
-            What to place.
+            Request to be placed.
         service : Service
-            The service that the request asks.
+            Service that the request addresses.
         names : tuple of str
-            All its targets, best the same object each time.
+            All targets of the service, preferably the same object at each call.
 
         Returns
         -------
         tuple of str
-            The homes of the shallowest level that has few enough of them.
-            Prompts without a full piece get targets in turn.
+            The homes of the shallowest level that has at most ``max_candidates`` of
+            them. Prompts without a full block get targets in rotation.
         """
         count = self._settings.max_candidates
         if len(names) <= count:
             return names
-        table = self._homes.get(service.name)
-        if table is None or table.names != names:
-            table = HomeTable(names, count)
-            self._homes[service.name] = table
+        ring = self._home_rings.get(service.name)
+        if ring is None or ring.names != names:
+            ring = HomeRing(names, count)
+            self._home_rings[service.name] = ring
         chain = request.prompt.chain(request.weights or service.weights)
         if not chain:
-            return self._next_names(names, count)
+            return self._rotate_names(names, count)
         levels = self._levels(now, chain, request.priority)
         if not levels:
-            depth = min(len(chain), self._settings.cold_depth)
-            return table.homes(chain[depth - 1])
-        few = next((level for level in levels if level.homes <= count), None)
-        if few is not None:
-            return table.homes(chain[few.depth - 1])
-        # Even the whole prompt is hot: its homes fill several lists.
-        self._turn += 1
-        turn = self._turn % -(-levels[-1].homes // count)
-        return table.homes(chain[-1], turn)
+            depth = min(len(chain), self._settings.default_home_depth)
+            return ring.homes(chain[depth - 1])
+        fitting_level = next((level for level in levels if level.homes <= count), None)
+        if fitting_level is not None:
+            return ring.homes(chain[fitting_level.depth - 1])
+        # Even the whole prompt has more homes than one shortlist holds, so its
+        # requests rotate over several groups of homes.
+        self._rotation += 1
+        group = self._rotation % -(-levels[-1].homes // count)
+        return ring.homes(chain[-1], group)
 
     def rank(
         self, now: float, request: PlacementRequest, candidates: Sequence[Candidate]
     ) -> tuple[Ranked, ...]:
         """Rank the candidates of all allowed weights versions, best first.
 
-        An engine without a version is loading and left out.
-        While new weights roll out, engines of both versions serve. Each has its
-        own chain, so neither is taken to hold the other's pieces.
+        An engine without a version is loading weights and is not ranked. During a
+        rollout, engines of both versions serve. The chain depends on the version, so
+        blocks of one version never count as cached under the other.
         """
         versions = {c.weights for c in candidates if c.weights and c.is_usable}
         if request.weights:
@@ -180,47 +181,47 @@
         ranked: list[Ranked] = []
         for weights in sorted(versions):
             query = self._query(now, request, weights)
-            same = [c for c in candidates if c.weights == weights]
-            ranked.extend(rank(self._settings, query, same, self._hints))
+            same_version = [c for c in candidates if c.weights == weights]
+            ranked.extend(rank(self._settings, query, same_version, self._hints))
         ranked.sort(key=lambda item: (item.score_ms, item.name))
         return tuple(ranked)
 
     def sent(self, now: float, request: PlacementRequest, chosen: Ranked) -> None:
-        """Note that the request was sent to a ranked target."""
+        """Record that the request was sent to a ranked target."""
         chain = request.prompt.chain(chosen.weights)
-        self._last = None
-        self._hot.count(now, chain)
-        self._hints.expect(now, chosen.name, chosen.incarnation, chain)
+        self._cached_levels = None
+        self._hot.record_request(now, chain)
+        self._hints.record_request(now, chosen.name, chosen.incarnation, chain)
 
     def cache_event(self, now: float, event: CacheEvent) -> None:
-        """Take an engine's cache event."""
+        """Apply a cache event of an engine."""
         self._hints.apply(now, event)
 
     def target_lost(self, target: str) -> None:
-        """Forget what is known of a lost engine's cache."""
+        """Drop the cached prefixes of an engine whose process was lost."""
         self._hints.forget(target)
 
     def _levels(
         self, now: float, chain: tuple[bytes, ...], priority: int
     ) -> tuple[Level, ...]:
-        """Return the levels, kept from the shortlist for the ranking."""
-        last = self._last
-        if last is None or last.now != now or last.chain is not chain:
+        """Return the levels; a ranking reuses those of the preceding shortlist."""
+        cached = self._cached_levels
+        if cached is None or cached.now != now or cached.chain is not chain:
             levels = self._hot.levels(now, chain, priority > EVEN_PRIORITY)
-            last = _Levels(now, chain, levels)
-            self._last = last
-        return last.levels
+            cached = _CachedLevels(now, chain, levels)
+            self._cached_levels = cached
+        return cached.levels
 
-    def _next_names(self, names: tuple[str, ...], count: int) -> tuple[str, ...]:
-        self._turn += 1
-        start = self._turn * count % len(names)
+    def _rotate_names(self, names: tuple[str, ...], count: int) -> tuple[str, ...]:
+        self._rotation += 1
+        start = self._rotation * count % len(names)
         return (names + names)[start : start + count]
 
     def _query(self, now: float, request: PlacementRequest, weights: str) -> Query:
         chain = request.prompt.chain(weights)
         return Query(
             chain=chain,
-            prompt_pieces=request.prompt.pieces,
+            prompt_blocks=request.prompt.pieces,
             failure_domain=request.failure_domain,
             exclude=request.exclude,
             weights=weights,
--- a/berylnotch/placement/rank.py
+++ b/berylnotch/placement/rank.py
@@ -18,10 +18,10 @@
 
 @frozen
 class _Source:
-    """Where the most leading pieces are known to be."""
+    """Target or KV store with the most confirmed leading blocks."""
 
     name: str = ""
-    pieces: int = 0
+    blocks: int = 0
 
 
 def rank(
@@ -35,109 +35,127 @@
     Parameters
     ----------
     settings : PlacementSettings
-        Costs and widths.
+        Costs, confidence factors and the default home level.
     query : Query
-        The request.
+        Request to be placed.
     candidates : sequence of Candidate
-        Targets of the service.
+        Targets of the request's service.
     hints : CacheHints, optional
-        What cache events told; without it only affinity counts.
+        Cache contents estimated from events; without it, only affinity counts.
 
     Returns
     -------
     tuple of Ranked
-        Best first; the same on every router for the same input. Targets that
-        drain, are ejected or excluded, or serve other weights are left out.
+        Best first; equal on every router for equal input. Targets that are draining,
+        ejected or excluded, or that serve other weights, are not ranked.
     """
-    usable = [c for c in candidates if _is_allowed(query, c)]
-    expected = expected_pieces(settings, query, [c.name for c in usable])
-    found = [_hint(query, c.name, c.incarnation, hints) for c in usable]
-    source = _best_source(settings, query, usable, found, hints)
+    eligible = [c for c in candidates if _is_eligible(query, c)]
+    expected = expected_blocks(settings, query, [c.name for c in eligible])
+    cache_hints = [_cache_hint(query, c.name, c.incarnation, hints) for c in eligible]
+    source = _best_source(settings, query, eligible, cache_hints, hints)
     scored = []
-    for candidate, hint in zip(usable, found, strict=True):
-        pieces = expected.get(candidate.name, 0)
-        cached = float(pieces) if hint is None else _estimate(settings, hint, pieces)
+    for candidate, hint in zip(eligible, cache_hints, strict=True):
+        blocks = expected.get(candidate.name, 0)
+        cached = (
+            float(blocks) if hint is None else _estimate_cached(settings, hint, blocks)
+        )
         ranked = _score(settings, query, candidate, cached, source)
-        scored.append((ranked.score_ms, _preference(query, candidate), ranked))
+        scored.append((ranked.score_ms, _tie_break(query, candidate), ranked))
     scored.sort(key=lambda entry: entry[:2])
     return tuple(ranked for _, _, ranked in scored)
 
 
-def expected_pieces(
+def expected_blocks(
     settings: PlacementSettings, query: Query, names: Sequence[str]
 ) -> dict[str, int]:
-    """Return the leading pieces that affinity expects at each home.
+    """Return the leading blocks that affinity expects to be cached at each target.
 
     Each level of the chain selects its homes among those of the level above,
-    so a prompt's homes are among the homes of everything that it extends.
+    so a prompt's homes are among the homes of each of its prefixes.
     """
     members = list(names)
     expected: dict[str, int] = {}
-    reached = 0
+    depth = 0
     for level in query.levels or _default_levels(settings, len(query.chain)):
         if level.homes < len(members):
-            expected.update(dict.fromkeys(members, reached))
+            expected.update(dict.fromkeys(members, depth))
             members = top(query.chain[level.depth - 1], members, level.homes)
-        reached = level.depth
+        depth = level.depth
     if len(members) == 1:
-        reached = len(query.chain)
-    expected.update(dict.fromkeys(members, reached))
+        depth = len(query.chain)
+    expected.update(dict.fromkeys(members, depth))
     return expected
 
 
-def _default_levels(settings: PlacementSettings, pieces: int) -> tuple[Level, ...]:
-    if not pieces:
+def _default_levels(settings: PlacementSettings, blocks: int) -> tuple[Level, ...]:
+    if not blocks:
         return ()
-    return (Level(min(pieces, settings.cold_depth), 1),)
+    return (Level(min(blocks, settings.default_home_depth), 1),)
 
 
-def _is_allowed(query: Query, candidate: Candidate) -> bool:
+def _is_eligible(query: Query, candidate: Candidate) -> bool:
     if not candidate.is_usable or candidate.name in query.exclude:
         return False
     return not query.weights or candidate.weights == query.weights
 
 
-def _preference(query: Query, candidate: Candidate) -> tuple[int, int, str]:
-    """Order targets of the same score: spread prompts, then requests."""
+def _tie_break(query: Query, candidate: Candidate) -> tuple[int, int, str]:
+    """Return the sort key of targets with equal scores.
+
+    It spreads prompts over the targets by hash, and requests without a chain by load.
+    """
     key = prefix_key(query.chain[-1]) if query.chain else 0
-    preferred = weight(key, name_hash(candidate.name)) if query.chain else 0
-    return preferred, candidate.in_flight, candidate.name
+    hash_weight = weight(key, name_hash(candidate.name)) if query.chain else 0
+    return hash_weight, candidate.in_flight, candidate.name
 
 
-def _hint(
+def _cache_hint(
     query: Query, name: str, incarnation: str, hints: CacheHints | None
 ) -> Hint | None:
     if hints is None:
         return None
-    return hints.cached_pieces(query.now, name, incarnation, query.chain)
+    return hints.cached_blocks(query.now, name, incarnation, query.chain)
 
 
 def _best_source(
     settings: PlacementSettings,
     query: Query,
-    usable: Sequence[Candidate],
-    found: Sequence[Hint | None],
+    eligible: Sequence[Candidate],
+    cache_hints: Sequence[Hint | None],
     hints: CacheHints | None,
 ) -> _Source:
-    """Return where pieces can be imported from; only what is known counts."""
+    """Return the best target or store to import from; only confirmed blocks count."""
     best = _Source()
     if hints is None or not settings.import_tokens_per_s:
         return best
-    known = [_Source(c.name, h.known) for c, h in zip(usable, found, strict=True) if h]
+    sources = [
+        _Source(c.name, h.confirmed)
+        for c, h in zip(eligible, cache_hints, strict=True)
+        if h
+    ]
     for store in query.stores:
-        known.append(_Source(store, hints.newest(query.now, store, query.chain).known))
-    return max(known, key=lambda s: (s.pieces, s.name), default=best)
+        sources.append(
+            _Source(
+                store,
+                hints.newest_cached_blocks(query.now, store, query.chain).confirmed,
+            )
+        )
+    return max(sources, key=lambda s: (s.blocks, s.name), default=best)
 
 
-def _estimate(settings: PlacementSettings, hint: Hint, expected: int) -> float:
-    """Return the leading pieces to count on, weighted by what tells of them."""
-    guessed = max(hint.likely, min(expected, hint.limit))
-    unconfirmed = hint.likely - hint.known
-    unseen = guessed - hint.likely
+def _estimate_cached(settings: PlacementSettings, hint: Hint, expected: int) -> float:
+    """Return the expected number of cached leading blocks.
+
+    Blocks are weighted by the confidence in their evidence: confirmed, reported before
+    a gap, or expected by affinity alone.
+    """
+    total = max(hint.likely, min(expected, hint.limit))
+    stale = hint.likely - hint.confirmed
+    inferred = total - hint.likely
     return (
-        hint.known
-        + settings.unconfirmed_trust * unconfirmed
-        + settings.affinity_trust * unseen
+        hint.confirmed
+        + settings.stale_confidence * stale
+        + settings.affinity_confidence * inferred
     )
 
 
@@ -149,29 +167,29 @@
     source: _Source,
 ) -> Ranked:
     wait_ms = 1000.0 * candidate.queue_wait_s
-    near = candidate.failure_domain == query.failure_domain
-    far_ms = 0.0 if near else settings.far_ms
-    uncached = max(0.0, query.prompt_pieces - cached)
-    gained = max(0.0, source.pieces - cached)
+    is_near = candidate.failure_domain == query.failure_domain
+    cross_domain_ms = 0.0 if is_near else settings.cross_domain_ms
+    uncached = max(0.0, query.prompt_blocks - cached)
+    importable = max(0.0, source.blocks - cached)
     import_ms = 0.0
-    saved_ms = settings.miss_weight * gained * settings.recompute_ms
-    if gained:
-        import_ms = settings.import_overhead_ms + gained * settings.import_ms
-    is_import = gained > 0 and import_ms < saved_ms
+    saved_ms = settings.miss_weight * importable * settings.recompute_ms
+    if importable:
+        import_ms = settings.import_overhead_ms + importable * settings.import_ms
+    is_import = importable > 0 and import_ms < saved_ms
     if is_import:
-        uncached -= gained
+        uncached -= importable
     compute_ms = settings.miss_weight * uncached * settings.recompute_ms
     load_ms = compute_ms + (settings.miss_weight * import_ms if is_import else 0.0)
     return Ranked(
         name=candidate.name,
-        score_ms=wait_ms + load_ms + far_ms,
+        score_ms=wait_ms + load_ms + cross_domain_ms,
         reason=(
-            f"wait={wait_ms:.0f}ms load={load_ms:.0f}ms far={far_ms:.0f}ms "
-            f"cached={cached:.1f}/{query.prompt_pieces}"
+            f"wait={wait_ms:.0f}ms load={load_ms:.0f}ms far={cross_domain_ms:.0f}ms "
+            f"cached={cached:.1f}/{query.prompt_blocks}"
         ),
         cached_pieces=int(cached),
         incarnation=candidate.incarnation,
         weights=candidate.weights,
         import_from=source.name if is_import else "",
-        import_pieces=source.pieces if is_import else 0,
+        import_pieces=source.blocks if is_import else 0,
     )
--- a/berylnotch/placement/rendezvous.py
+++ b/berylnotch/placement/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing."""
+"""Rendezvous hashing of prefixes to targets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @functools.lru_cache(maxsize=8192)
 def name_hash(name: str) -> int:
-    """Hash a name below 2^61, the same in every process."""
+    """Return a hash of a name below 2^61, equal in every process."""
     digest = hashlib.sha256(name.encode()).digest()
     return int.from_bytes(digest[:8], "big") % _PRIME
 
@@ -25,9 +25,10 @@
 
 
 def weight(key: int, node: int) -> int:
-    """Return the rendezvous weight of a node for a key; the lowest is best.
+    """Return the rendezvous weight of a node for a key; the lowest weight wins.
 
-    Both must be spread evenly below 2^61, as `name_hash` and `prefix_key` are.
+    Both arguments must be evenly distributed below 2^61, as the results of
+    `name_hash` and `prefix_key` are.
     """
     return (key ^ node) * _MULTIPLIER % _PRIME
 
@@ -35,7 +36,7 @@
 def top(prefix: bytes, names: Iterable[str], count: int) -> list[str]:
     """Return the ``count`` best names for a prefix, best first.
 
-    If a name is taken away, only the prefixes that it held move.
+    Removing a name reassigns only the prefixes that were assigned to it.
     """
     key = prefix_key(prefix)
     weighted = ((weight(key, name_hash(name)), name) for name in names)
--- a/berylnotch/placement/ring.py
+++ b/berylnotch/placement/ring.py
@@ -1,4 +1,4 @@
-"""A ring of targets, by which all routers find the same few for a key."""
+"""Consistent-hash ring by which all routers find the same targets for a key."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 T = TypeVar("T")
 
-#: Points of each target on the ring; more spread the keys more evenly.
+#: Points of each target on the ring. More points spread the keys more evenly.
 POINTS = 16
 
 
 class Ring(Generic[T]):
-    """Targets in an order that a key decides.
+    """Consistent-hash ring of targets.
 
-    A target that comes or goes moves only the keys next to its points. Looking a key
-    up takes the same time for thousands of targets as for ten.
+    Adding or removing a target reassigns only the keys next to its points. The lookup
+    of a key takes about the same time for thousands of targets as for ten.
 
     Parameters
     ----------
     targets : sequence of tuple
-        Name and target.
+        Pairs of name and target.
     """
 
     def __init__(self, targets: Sequence[tuple[str, T]]) -> None:
@@ -36,7 +36,7 @@
         self._positions = [position for _, position in points]
 
     def walk(self, key: str) -> Iterator[T]:
-        """Return each target once, the home of the key first."""
+        """Yield each target once in the key's order, starting with the key's home."""
         start = bisect_left(self._hashes, _hash(key))
         seen = set()
         for step in range(len(self._positions)):
@@ -49,7 +49,8 @@
 
 
 def _hash(text: str) -> int:
-    # A checksum alone leaves similar names close to each other.
+    # The checksums of similar names are close together; the multiplications spread
+    # them over the ring.
     value = zlib.crc32(text.encode()) * 0x9E3779B97F4A7C15 & (1 << 64) - 1
     value = (value ^ value >> 32) * 0xD6E8FEB86659FD93 & (1 << 64) - 1
     return value ^ value >> 32
--- a/berylnotch/routing/__init__.py
+++ b/berylnotch/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Whole configurations of a fleet: routes, services, organisations and limits."""
+"""Fleet configurations: routes, services, organisations and limits."""
--- a/berylnotch/routing/checks.py
+++ b/berylnotch/routing/checks.py
@@ -1,4 +1,4 @@
-"""Rules that a fleet configuration has to meet."""
+"""Validation of fleet configurations."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 
 def check(configuration: FleetConfiguration) -> None:
-    """Check that a configuration does not contradict itself.
+    """Check that a configuration is consistent.
 
     Raises
     ------
     InvalidConfigurationError
-        With the first rule that is broken.
+        If a rule is violated; the message names the first violation.
     """
     if configuration.version < 1:
         raise InvalidConfigurationError(
             f"version {configuration.version} is not positive"
         )
     _check_services(configuration)
-    places: dict[tuple[str, str], str] = {}
+    route_names: dict[tuple[str, str], str] = {}
     services = {service.name for service in configuration.services}
     for route in configuration.routes:
         _check_route(route, services)
-        other = places.setdefault((route.host, route.prefix), route.name)
+        other = route_names.setdefault((route.host, route.prefix), route.name)
         if other is not route.name:
             raise InvalidConfigurationError(
                 f"routes {other!r} and {route.name!r} share {route.host}{route.prefix}"
@@ -32,11 +32,11 @@
 
 
 def _check_services(configuration: FleetConfiguration) -> None:
-    seen: set[str] = set()
+    names: set[str] = set()
     for service in configuration.services:
-        if service.name in seen:
+        if service.name in names:
             raise InvalidConfigurationError(f"service {service.name!r} is listed twice")
-        seen.add(service.name)
+        names.add(service.name)
 
 
 def _check_route(route: Route, services: set[str]) -> None:
--- a/berylnotch/routing/errors.py
+++ b/berylnotch/routing/errors.py
@@ -1,4 +1,4 @@
-"""Errors of fleet configurations."""
+"""Errors in fleet configurations."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class InvalidConfigurationError(ConfigurationError):
-    """A fleet configuration cannot be read or contradicts itself."""
+    """Raised if a fleet configuration is unreadable or inconsistent."""
--- a/berylnotch/routing/model.py
+++ b/berylnotch/routing/model.py
@@ -1,4 +1,4 @@
-"""What a fleet configuration holds."""
+"""Data model of a fleet configuration."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route."""
+    """Type of a route, which determines whether its requests may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -19,7 +19,7 @@
 
 @frozen
 class Split:
-    """Share of a route's requests that goes to a service."""
+    """Service that gets a share of a route's requests, with its relative weight."""
 
     service: str
     weight: float
@@ -27,34 +27,36 @@
 
 @frozen
 class Route:
-    """Requests of one host under one path prefix.
+    """Route for the requests to one host under one path prefix.
 
     Parameters
     ----------
     name : str
-        Name for people.
+        Name of the route, for operators.
     host : str
         Host name, in lower case.
     prefix : str
-        Path prefix that begins and ends with a slash.
+        Path prefix; it begins and ends with a slash.
     kind : RouteKind
-        What may be repeated.
+        Type of the route, which determines whether requests may be retried.
     timeout_s : float
-        Longest time for which a caller is kept waiting.
+        Longest time that a caller waits, in seconds.
     target_latency_s : float
-        Time for an answer, of a stream for its first event, to count in full.
+        Latency in seconds up to which an answer has its full value; for a stream,
+        the latency of its first event.
     priority : int
-        Rank; 0 is the most urgent.
+        Priority; 0 is the most urgent.
     splits : tuple of Split
-        Services and their weights.
+        Services and their relative weights.
     max_attempts : int
-        Most targets that one request may be sent to.
+        Most targets to which one request may be sent.
     is_open : bool
-        Whether requests need no key.
+        Whether requests are accepted without a key.
     is_resumable : bool
-        Whether a stream may go on at another target.
+        Whether a stream may be resumed at another target.
     max_gap_s : float
-        Longest pause between two events of a stream that is in time.
+        Longest gap between two events of a stream, in seconds, that counts as in
+        time.
     """
 
     name: str
@@ -72,7 +74,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -80,12 +82,13 @@
 
 @frozen
 class EngineKind:
-    """Engines of a model service.
+    """Properties of the engines of a model service.
 
-    ``slots`` is how many requests an engine runs at once, ``cache_tokens`` the
-    tokens that its memory holds, ``token_bytes`` the bytes of a token there, and
-    ``link_mbps`` the bits that it takes over from others, in millions a second; 0 if
-    that is not stated. ``moves_runs`` tells whether a run can go on at another one.
+    ``slots`` is the number of requests that an engine runs concurrently,
+    ``cache_tokens`` the capacity of its KV cache in tokens, ``token_bytes`` the size of
+    a cached token in bytes, and ``link_mbps`` the bandwidth of transfers from other
+    engines in Mbit/s; 0 if not stated. ``moves_runs`` tells whether a running request
+    can be migrated to another engine.
     """
 
     slots: int
@@ -96,18 +99,18 @@
     moves_runs: bool = False
 
     def tokens_per_ms(self, link_mbps: float) -> float:
-        """Return the tokens that a link carries in a ms, 0 if that is not known."""
+        """Return the cached tokens per ms that a link transfers, 0 if unknown."""
         bytes_per_ms = link_mbps * 1e6 / 8 / 1000
         return bytes_per_ms / self.token_bytes if self.token_bytes else 0.0
 
 
 @frozen
 class Service:
-    """Targets of one kind.
+    """Group of interchangeable targets.
 
-    ``engine`` is set for model engines, ``store_address`` for a store of KV cache,
-    with the tokens that it holds and the bits that its link carries, in millions a
-    second; 0 if that is not stated.
+    ``engine`` is set for model engines, ``store_address`` for a KV store. For a store,
+    ``store_tokens`` is its capacity in tokens and ``store_link_mbps`` the bandwidth of
+    its link in Mbit/s; 0 if not stated.
     """
 
     name: str
@@ -122,11 +125,11 @@
 
 @frozen
 class Organisation:
-    """An organisation, its keys and its limit.
+    """Organisation with its keys and its rate limit.
 
-    ``rate`` is in tokens or requests a second, ``burst`` in tokens or requests; a
-    rate of 0 is no limit. A request without token counts costs ``default_cost``.
-    An isolated organisation shares no cache entry with others.
+    ``rate`` is in tokens or requests per second, ``burst`` in tokens or requests; a
+    rate of 0 means no limit. A request without token counts costs ``default_cost``.
+    An isolated organisation shares no cache entries with other organisations.
     """
 
     name: str
@@ -141,7 +144,7 @@
 
 @frozen
 class FleetConfiguration:
-    """One version of the configuration; ``organisations`` is None without keys."""
+    """One version of the configuration; without keys, ``organisations`` is None."""
 
     version: int
     routes: tuple[Route, ...]
--- a/berylnotch/routing/table.py
+++ b/berylnotch/routing/table.py
@@ -1,4 +1,4 @@
-"""Lookup of routes and keys in one configuration."""
+"""Lookup of routes, services and organisations in one configuration."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class RouteTable:
-    """Index of one configuration.
+    """Lookup tables of one configuration.
 
     Parameters
     ----------
     configuration : FleetConfiguration
-        A checked configuration.
+        Configuration that has passed validation.
     """
 
     def __init__(self, configuration: FleetConfiguration) -> None:
@@ -44,15 +44,18 @@
         return self.configuration.organisations is not None
 
     def service(self, name: str) -> Service | None:
-        """Return a service by name."""
+        """Return the service of a name, or None if there is none."""
         return self._services.get(name)
 
     def organisation(self, key: str) -> Organisation | None:
-        """Return the organisation that holds a key."""
+        """Return the organisation of a key, or None if the key is unknown."""
         return self._by_key.get(key)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route whose prefix is the longest match of a path, or None.
+
+        The port of ``host`` and the case of its letters do not matter.
+        """
         routes = self._by_host.get(host.partition(":")[0].lower())
         if not routes:
             return None
@@ -65,19 +68,19 @@
 
     @property
     def stores(self) -> tuple[Service, ...]:
-        """Stores of KV cache."""
+        """Services that are KV stores."""
         return tuple(s for s in self.configuration.services if s.store_address)
 
 
 def pick_service(splits: tuple[Split, ...], draw: float) -> str:
-    """Return the service of a split route.
+    """Select a service of a route at random, in proportion to the weights.
 
     Parameters
     ----------
     splits : tuple of Split
-        Services and weights, at least one of them positive.
+        Services and weights; at least one weight is positive.
     draw : float
-        Evenly distributed number, 0 <= draw < 1.
+        Uniformly distributed random number, 0 <= draw < 1.
     """
     position = draw * sum(split.weight for split in splits)
     for split in splits:
--- a/tests/test_placement/test_chains.py
+++ b/tests/test_placement/test_chains.py
@@ -1,4 +1,4 @@
-"""Chains of a prompt's parts."""
+"""Chains of shared prompt prefixes."""
 
 import pytest
 
@@ -11,62 +11,62 @@
 )
 
 
-def chain(*tokens, prompt_tokens=None):
+def chain_of(*tokens, prompt_tokens=None):
     parts = [PromptPart(f"p{n}", count) for n, count in enumerate(tokens)]
     return make_chain(parts, sum(tokens) if prompt_tokens is None else prompt_tokens)
 
 
-def test_levels_begin_where_a_trip_pays():
-    made = chain(512, 4870, 300, 6610)
-    assert [level.total for level in made.levels] == [5382, 5682]
-    assert [level.tokens for level in made.levels] == [4870, 300]
-    assert made.path == "p0/p1/p2" and made.shared_tokens == 5682
-    assert made.total(0) == 0 and made.total(1) == 5382
+def test_levels_begin_at_the_least_shared_tokens():
+    chain = chain_of(512, 4870, 300, 6610)
+    assert [level.total for level in chain.levels] == [5382, 5682]
+    assert [level.tokens for level in chain.levels] == [4870, 300]
+    assert chain.path == "p0/p1/p2" and chain.shared_tokens == 5682
+    assert chain.total(0) == 0 and chain.total(1) == 5382
 
 
-def test_a_short_shared_part_has_no_home():
-    assert not chain(MIN_HOME_TOKENS - 1, 9000).has_home
-    assert chain(MIN_HOME_TOKENS, 9000).has_home
-    assert not chain(9000).has_home
+def test_a_short_shared_part_gives_no_affinity():
+    assert not chain_of(MIN_HOME_TOKENS - 1, 9000).has_home
+    assert chain_of(MIN_HOME_TOKENS, 9000).has_home
+    assert not chain_of(9000).has_home
 
 
-def test_marks_tell_prompts_with_the_same_first_part_apart():
-    one = make_chain(
+def test_hashes_differ_where_prompts_with_the_same_first_part_differ():
+    first = make_chain(
         [PromptPart("a", 2000), PromptPart("b", 2000), PromptPart("x", 1)], 0
     )
-    two = make_chain(
+    second = make_chain(
         [PromptPart("a", 2000), PromptPart("c", 2000), PromptPart("x", 1)], 0
     )
-    assert one.marks("v1")[0] == two.marks("v1")[0]
-    assert one.marks("v1")[1] != two.marks("v1")[1]
-    assert set(one.marks("v1")).isdisjoint(one.marks("v2"))
+    assert first.marks("v1")[0] == second.marks("v1")[0]
+    assert first.marks("v1")[1] != second.marks("v1")[1]
+    assert set(first.marks("v1")).isdisjoint(first.marks("v2"))
 
 
 @pytest.mark.parametrize(
     "made",
     [
-        chain(*[100] * (MAX_PARTS + 1)),
-        chain(10**9, 10),
-        chain(2000, 500, prompt_tokens=9000),
+        chain_of(*[100] * (MAX_PARTS + 1)),
+        chain_of(10**9, 10),
+        chain_of(2000, 500, prompt_tokens=9000),
         make_chain([PromptPart("a", 2000)] * 3, 6000),
     ],
 )
-def test_parts_that_make_no_sense_give_no_home_and_say_why(made):
+def test_invalid_parts_give_a_reason_and_no_affinity(made):
     assert made.problem and not made.has_home and made.path == ""
 
 
-def test_only_the_deepest_levels_of_many_are_looked_for():
-    made = chain(*[2000] * 20)
-    assert len(made.levels) == MAX_LEVELS
-    assert made.levels[-1].total == made.shared_tokens == 38_000
+def test_only_the_deepest_levels_are_kept():
+    chain = chain_of(*[2000] * 20)
+    assert len(chain.levels) == MAX_LEVELS
+    assert chain.levels[-1].total == chain.shared_tokens == 38_000
 
 
-def test_prompts_of_one_branch_are_kept_by_one_store():
-    one = make_chain(
+def test_prompts_of_one_branch_have_the_same_store_key():
+    first = make_chain(
         [PromptPart("a", 2000), PromptPart("b", 2000), PromptPart("x", 1)], 4001
     )
-    two = make_chain(
+    second = make_chain(
         [PromptPart("a", 2000), PromptPart("c", 2000), PromptPart("x", 1)], 4001
     )
-    assert one.store_key == two.store_key != ""
+    assert first.store_key == second.store_key != ""
     assert make_chain([PromptPart("x", 9)], 9).store_key == ""
--- a/tests/test_placement/test_ring.py
+++ b/tests/test_placement/test_ring.py
@@ -1,4 +1,4 @@
-"""Order of targets for a key, alike at all routers."""
+"""Consistent-hash ring that orders targets equally at all routers."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
     return Ring([(name, name) for name in names])
 
 
-def test_each_target_comes_once_and_the_order_is_the_same_everywhere():
+def test_order_holds_each_target_once_and_is_equal_at_all_routers():
     names = [f"e{n}" for n in range(30)]
     order = list(ring(names).walk("prompt"))
     assert sorted(order) == sorted(names)
@@ -18,13 +18,13 @@
 
 
 def test_keys_spread_over_all_targets():
-    made = ring([f"e{n}" for n in range(40)])
-    homes = Counter(next(made.walk(f"p{n}")) for n in range(4000))
+    hash_ring = ring([f"e{n}" for n in range(40)])
+    homes = Counter(next(hash_ring.walk(f"p{n}")) for n in range(4000))
     assert len(homes) == 40
     assert max(homes.values()) < 3 * 4000 / 40
 
 
-def test_a_lost_target_moves_only_its_own_keys():
+def test_loss_of_a_target_reassigns_only_its_own_keys():
     names = [f"e{n}" for n in range(20)]
     before, after = ring(names), ring(names[1:])
     for number in range(500):
--- a/tests/test_routing/test_table.py
+++ b/tests/test_routing/test_table.py
@@ -1,4 +1,4 @@
-"""Lookup of routes and shares of split ones."""
+"""Lookup of routes and organisations, and selection by weight."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -26,27 +26,27 @@
 
 
 def test_longest_prefix_of_the_host_wins():
-    found = table(
+    route_table = table(
         route("all", "h", "/"), route("a", "h", "/a/"), route("ab", "h", "/a/b/")
     )
-    assert found.route("h", "/a/b/c").name == "ab"
-    assert found.route("h", "/a/bc").name == "a"
-    assert found.route("h", "/ab").name == "all"
-    assert found.route("H:8080", "/a/").name == "a"
-    assert found.route("other", "/a/") is None
+    assert route_table.route("h", "/a/b/c").name == "ab"
+    assert route_table.route("h", "/a/bc").name == "a"
+    assert route_table.route("h", "/ab").name == "all"
+    assert route_table.route("H:8080", "/a/").name == "a"
+    assert route_table.route("other", "/a/") is None
 
 
 def test_no_route_without_a_matching_prefix():
-    found = table(route("a", "h", "/a/"))
-    assert found.route("h", "/a") is None
-    assert found.route("h", "/b/") is None
-    assert found.route("h", "") is None
+    route_table = table(route("a", "h", "/a/"))
+    assert route_table.route("h", "/a") is None
+    assert route_table.route("h", "/b/") is None
+    assert route_table.route("h", "") is None
 
 
-def test_keys_lead_to_their_organisation():
-    found = table(organisations=(Organisation("alpha", ("k1", "k2")),))
-    assert found.organisation("k2").name == "alpha"
-    assert found.organisation("") is None and found.needs_keys
+def test_key_lookup_returns_its_organisation():
+    route_table = table(organisations=(Organisation("alpha", ("k1", "k2")),))
+    assert route_table.organisation("k2").name == "alpha"
+    assert route_table.organisation("") is None and route_table.needs_keys
     assert not table().needs_keys
 
 
@@ -54,13 +54,13 @@
     st.lists(st.floats(0, 100), min_size=1, max_size=5).filter(lambda w: sum(w) > 0.1),
     st.floats(0, 1, exclude_max=True),
 )
-def test_pick_gives_a_service_with_weight(weights, draw):
+def test_selected_service_has_a_positive_weight(weights, draw):
     splits = tuple(Split(str(n), weight) for n, weight in enumerate(weights))
-    picked = pick_service(splits, draw)
-    assert weights[int(picked)] > 0
+    selected = pick_service(splits, draw)
+    assert weights[int(selected)] > 0
 
 
-def test_pick_follows_the_weights():
+def test_services_are_selected_in_proportion_to_their_weights():
     splits = (Split("a", 90), Split("b", 10))
     draws = [n / 1000 for n in range(1000)]
     assert sum(pick_service(splits, d) == "a" for d in draws) == 900
