--- a/berylnotch/consensus/__init__.py
+++ b/berylnotch/consensus/__init__.py
@@ -1,7 +1,7 @@
-"""Replicated log: elections, leases, membership, snapshots.
+"""Replicated log: Raft with pre-vote, leader leases, membership changes and snapshots.
 
-The names here are the public interface for other programs; docs/embedding.md
-shows how they go together.
+The names in `__all__` are the public interface for programs that embed the log;
+docs/embedding.md shows how to use them together.
 """
 
 from __future__ import annotations
@@ -9,8 +9,9 @@
 from importlib import import_module
 from typing import Any
 
-#: Modules of the public names. They are imported on first use, because the codec
-#: of messages, which some of them need, itself imports this package's messages.
+#: Module of each public name. Modules are imported on first use to avoid an import
+#: cycle: some of them need the message codec, and the codec imports this package's
+#: `messages` module.
 _MODULES = {
     "BootstrapError": "errors",
     "ConsensusSettings": "settings",
--- a/berylnotch/consensus/core.py
+++ b/berylnotch/consensus/core.py
@@ -1,4 +1,4 @@
-"""State of a replica that every role shares."""
+"""Replica state that is shared by followers, candidates and leaders."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from berylnotch.consensus.log import Log
-from berylnotch.consensus.members import find, voters
+from berylnotch.consensus.members import find_member, voters
 from berylnotch.consensus.state import HardState, Outgoing
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
 
 class State(Enum):
-    """What a replica does in its term."""
+    """Raft state of a replica in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -27,16 +27,16 @@
 
 
 class Core:
-    """Term, vote, log and timers of one replica, and its unsent messages.
+    """Term, vote, log, timers and unsent messages of one replica.
 
     Parameters
     ----------
     settings : ConsensusSettings
-        Timing and sizes.
+        Timing and size limits.
     recovered : Recovered
-        What the data folder held.
+        Contents of the data folder at start.
     rng : random.Random
-        Source of the election timeouts.
+        Source of the randomised election timeouts.
     now : float
         Monotonic seconds.
     """
@@ -54,91 +54,97 @@
         self.hard_state = recovered.hard_state
         self.is_hard_state_saved = True
         self.log = Log(snapshot, recovered.entries)
-        self.commit = snapshot.last_index if snapshot else 0
-        self.applied = self.commit
-        self.installed: Snapshot | None = None
+        self.commit_index = snapshot.last_index if snapshot else 0
+        self.applied_index = self.commit_index
+        self.installed_snapshot: Snapshot | None = None
         self.state = State.FOLLOWER
         self.leader = ""
         self.leader_address = ""
-        # A replica that restarts may have answered a leader just before, and
-        # the leader's lease rests on that answer: it counts as heard now.
-        self.heard_at = now
-        self.election_at = now
-        #: Time of the newest call.
+        # The replica may have answered a heartbeat just before it restarted, and the
+        # leader's lease may depend on that answer. The start therefore counts as
+        # contact with a leader, and votes are refused for `election_min_s`.
+        self.leader_contact_at = now
+        self.election_deadline = now
+        #: Time passed to the most recent call, in monotonic seconds.
         self.now = now
         self._rng = rng
         self._outbox: list[Outgoing] = []
         self.restart_election_timer(now)
-        #: Time until which it asks whether it can resume the leadership that it may
-        #: have had before its restart.
-        self._resume_until = now
+        #: Time until which pre-votes are retried every `resume_retry_s`, because this
+        #: replica may have been the leader before its restart and can resume then.
+        self._resume_deadline = now
         if self.hard_state.supports(self.identity):
-            self._resume_until = self.election_at
-            self.election_at = now
+            self._resume_deadline = self.election_deadline
+            self.election_deadline = now
 
     @property
     def term(self) -> int:
-        """Newest term seen."""
+        """Highest term seen."""
         return self.hard_state.term
 
     @property
     def members(self) -> Members:
-        """Newest membership in the log."""
+        """Newest membership in the log, committed or not."""
         return self.log.members
 
     @property
     def is_voter(self) -> bool:
         """Whether this replica may stand for election.
 
-        One whose removal is not yet committed still may: only its log may hold
-        the removal, and then the others cannot elect a leader without it.
+        A replica whose removal is not yet committed may still stand. Its log may be
+        the only one that holds the removal, and the others may then be unable to
+        elect a leader without its vote.
         """
         if self.identity in voters(self.members):
             return True
-        return self.identity in voters(self.log.members_at(self.commit))
+        return self.identity in voters(self.log.members_at(self.commit_index))
 
     def restart_election_timer(self, now: float) -> None:
-        """Draw a new election timeout."""
+        """Restart the election timer with a new random timeout."""
         low, high = self.settings.election_min_s, self.settings.election_max_s
-        self.election_at = now + self._rng.uniform(low, high)
+        self.election_deadline = now + self._rng.uniform(low, high)
 
-    def restart_resume_timer(self, now: float) -> None:
-        """Set when to ask next, which is sooner while it may resume."""
+    def schedule_pre_vote(self, now: float) -> None:
+        """Set the time of the next pre-vote.
+
+        Until `_resume_deadline` the next pre-vote is due after `resume_retry_s` instead
+        of an election timeout.
+        """
         self.restart_election_timer(now)
-        if now < self._resume_until:
+        if now < self._resume_deadline:
             retry_at = now + self.settings.resume_retry_s
-            self.election_at = min(retry_at, self._resume_until)
+            self.election_deadline = min(retry_at, self._resume_deadline)
 
     def set_hard_state(self, hard_state: HardState) -> None:
-        """Change what must be saved before any message leaves."""
+        """Replace the hard state; it must be saved before further messages are sent."""
         self.hard_state = hard_state
         self.is_hard_state_saved = False
 
     @property
     def address(self) -> str:
-        """Own address by the log, or empty if not a member."""
+        """Own address in the newest membership, or empty if not a member."""
         return self.address_of(self.identity)
 
     def address_of(self, replica: str) -> str:
-        """Return a member's address, or empty if it is not a member."""
-        member = find(self.members, replica)
+        """Return the address of a member, or empty if ``replica`` is not a member."""
+        member = find_member(self.members, replica)
         return member.address if member else ""
 
     def send(self, replica: str, message: Any, address: str = "") -> None:
-        """Queue a message; ``address`` is for a replica that is not a member."""
+        """Queue a message; ``address`` is used if ``replica`` is not a known member."""
         address = self.address_of(replica) or address
         self._outbox.append(Outgoing(replica, address, message))
 
     def take_outbox(self) -> tuple[Outgoing, ...]:
-        """Return the queued messages and forget them."""
+        """Return the queued messages and clear the queue."""
         messages = tuple(self._outbox)
         self._outbox.clear()
         return messages
 
-    def hears_leader(self, now: float) -> bool:
-        """Whether a leader was heard within the shortest election timeout."""
-        return now - self.heard_at < self.settings.election_min_s
+    def has_leader_contact(self, now: float) -> bool:
+        """Whether a leader made contact within the shortest election timeout."""
+        return now - self.leader_contact_at < self.settings.election_min_s
 
     def advance_commit(self, index: int) -> None:
-        """Raise the commit index, never past the log's end."""
-        self.commit = max(self.commit, min(index, self.log.last_index))
+        """Raise the commit index to ``index``, at most to the last index of the log."""
+        self.commit_index = max(self.commit_index, min(index, self.log.last_index))
--- a/berylnotch/consensus/election.py
+++ b/berylnotch/consensus/election.py
@@ -1,9 +1,10 @@
-"""Pre-vote, vote and their counting.
+"""Leader election: pre-votes, votes and their counting.
 
-A voter that restarts refuses its vote for a while, since it may have renewed a leader's
-lease just before. A former leader need not wait for that: if a majority of voters are
-still in its term and support it, no other replica can have led that term, and all older
-leases had ended when they began to support it. `spec/resumption.py` checks this.
+A voter that restarts refuses its vote for ``election_min_s``, because it may have
+renewed a leader's lease just before the restart. A former leader can resume without
+this wait. If a majority of voters is still in its term and supports it, no other
+replica can have led that term, and all leases of older terms had ended when the voters
+began to support it. The model in `spec/resumption.py` checks this rule.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class Election:
-    """One replica's candidature, from the pre-vote to its end.
+    """Candidacy of one replica, from the pre-vote to the result of the election.
 
     Parameters
     ----------
@@ -32,64 +33,66 @@
 
     def __init__(self, core: Core) -> None:
         self._core = core
-        self._granted: set[str] = set()
-        #: Voters that support this replica in its term, by their replies.
+        self._votes: set[str] = set()
+        #: Voters whose replies say that they support this replica in its current term.
         self._supporters: set[str] = set()
-        self._transfer = False
+        #: Whether voters should ignore recent contact with a leader, because no other
+        #: replica can hold a lease any longer.
+        self._is_transfer = False
 
     @property
     def is_won(self) -> bool:
-        """Whether a majority granted what is asked at present."""
-        return has_quorum(self._core.members, self._granted)
+        """Whether a majority granted the current pre-vote or vote request."""
+        return has_quorum(self._core.members, self._votes)
 
     @property
-    def may_resume(self) -> bool:
-        """Whether no lease of another replica can stand."""
+    def can_resume(self) -> bool:
+        """Whether no other replica can hold a lease, so that no wait is needed."""
         return has_quorum(self._core.members, self._supporters)
 
     def start_pre_vote(self, now: float) -> None:
-        """Ask whether an election would be won, without a new term."""
+        """Ask whether this replica would win an election, without a new term."""
         core = self._core
-        core.restart_resume_timer(now)
+        core.schedule_pre_vote(now)
         core.leader = ""
         core.state = State.PRE_CANDIDATE
-        self._transfer = False
-        self._granted = {core.identity}
-        is_own = core.hard_state.supports(core.identity)
-        self._supporters = {core.identity} if is_own else set()
-        self._ask(core.term + 1, pre=True)
-
-    def start_vote(self, now: float, transfer: bool = False) -> None:
-        """Ask for votes in a new term; the own vote counts once it is saved."""
+        self._is_transfer = False
+        self._votes = {core.identity}
+        has_own_support = core.hard_state.supports(core.identity)
+        self._supporters = {core.identity} if has_own_support else set()
+        self._send_vote_requests(core.term + 1, is_pre_vote=True)
+
+    def start_election(self, now: float, is_transfer: bool = False) -> None:
+        """Request votes in a new term; the own vote counts once it is saved."""
         core = self._core
         core.restart_election_timer(now)
         core.leader = ""
         core.state = State.CANDIDATE
         core.set_hard_state(HardState(core.term + 1, core.identity))
-        self._transfer = transfer
-        self._granted = set()
-        self._ask(core.term, pre=False)
+        self._is_transfer = is_transfer
+        self._votes = set()
+        self._send_vote_requests(core.term, is_pre_vote=False)
 
-    def own_vote_saved(self) -> None:
-        """Count the own vote."""
+    def on_vote_saved(self) -> None:
+        """Count this replica's own vote, because it is now durable."""
         core = self._core
         if core.state is State.CANDIDATE and core.hard_state.voted_for == core.identity:
-            self._granted.add(core.identity)
+            self._votes.add(core.identity)
 
-    def receive(self, reply: VoteReply) -> None:
-        """Count a reply to what is asked at present."""
+    def record_vote_reply(self, reply: VoteReply) -> None:
+        """Count a reply to the current pre-vote or vote request."""
         core = self._core
-        asked = {State.PRE_CANDIDATE: True, State.CANDIDATE: False}
-        if asked.get(core.state) is not reply.pre:
+        pre_by_state = {State.PRE_CANDIDATE: True, State.CANDIDATE: False}
+        if pre_by_state.get(core.state) is not reply.pre:
             return
         if reply.pre and self._supporters and reply.supported_term == core.term:
             self._supporters.add(reply.voter)
         if not reply.granted:
             return
         if reply.term == core.term + (1 if reply.pre else 0):
-            self._granted.add(reply.voter)
+            self._votes.add(reply.voter)
 
-    def _ask(self, term: int, pre: bool) -> None:
+    def _send_vote_requests(self, term: int, is_pre_vote: bool) -> None:
         core = self._core
         for replica in sorted(voters(core.members) - {core.identity}):
             request = VoteRequest(
@@ -97,8 +100,8 @@
                 core.identity,
                 core.log.last_index,
                 core.log.last_term,
-                pre,
-                self._transfer,
+                is_pre_vote,
+                self._is_transfer,
                 core.address,
                 replica,
             )
@@ -106,17 +109,17 @@
 
 
 def is_up_to_date(core: Core, request: VoteRequest) -> bool:
-    """Return whether the candidate's log holds all that may be committed."""
+    """Return whether the candidate's log holds all entries that may be committed."""
     own = (core.log.last_term, core.log.last_index)
     return (request.last_term, request.last_index) >= own
 
 
 def answer_pre_vote(core: Core, now: float, request: VoteRequest) -> VoteReply:
-    """Return the answer to a pre-vote; no state changes."""
+    """Return the reply to a pre-vote request; no state changes."""
     granted = (
         request.term > core.term
         and is_up_to_date(core, request)
-        and not core.hears_leader(now)
+        and not core.has_leader_contact(now)
     )
     term = request.term if granted else core.term
     is_supported = core.hard_state.supports(request.candidate)
@@ -125,12 +128,12 @@
 
 
 def answer_vote(core: Core, now: float, request: VoteRequest) -> VoteReply:
-    """Return the answer to a vote request of this replica's term.
+    """Return the reply to a vote request in this replica's term.
 
-    A granted vote is in the hard state, which is saved before the reply leaves.
+    A granted vote is part of the hard state, so it is saved before the reply is sent.
     """
-    free = core.hard_state.voted_for in ("", request.candidate)
-    granted = request.term == core.term and free and is_up_to_date(core, request)
+    can_vote = core.hard_state.voted_for in ("", request.candidate)
+    granted = request.term == core.term and can_vote and is_up_to_date(core, request)
     if granted:
         core.restart_election_timer(now)
         if not core.hard_state.voted_for:
--- a/berylnotch/consensus/errors.py
+++ b/berylnotch/consensus/errors.py
@@ -6,7 +6,7 @@
 
 
 class NotLeaderError(ConsensusError):
-    """A proposal came to a replica that does not lead.
+    """A proposal reached a replica that is not the leader.
 
     Parameters
     ----------
@@ -20,32 +20,32 @@
 
 
 class OverloadedError(ConsensusError):
-    """Too many proposals wait for a majority."""
+    """Too many proposals are not yet committed by a majority."""
 
 
 class PayloadError(ConsensusError):
-    """A proposal is larger than one message between replicas may be."""
+    """A proposal exceeds the size limit of a message between replicas."""
 
 
 class MembershipError(ConsensusError):
-    """A membership change is not allowed now or not at all."""
+    """A membership change is invalid, or is not allowed at this time."""
 
 
 class BootstrapError(ConsensusError):
-    """A group cannot begin from this replica's state."""
+    """A new group cannot be bootstrapped from this replica's state."""
 
 
 class DamagedFileError(StorageError):
-    """A file of the data folder does not hold what was written.
+    """A file of the data folder is damaged.
 
     Parameters
     ----------
     path : str
-        File that is damaged.
+        Path of the damaged file.
     offset : int
         Byte offset of the first damage.
     reason : str
-        What is wrong there.
+        Description of the damage.
     """
 
     def __init__(self, path: str, offset: int, reason: str) -> None:
--- a/berylnotch/consensus/folder.py
+++ b/berylnotch/consensus/folder.py
@@ -1,4 +1,4 @@
-"""The data folder: identity, lock and durable writes."""
+"""Identity file, lock file and atomic file writes of a replica's data folder."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from berylnotch.consensus.errors import CopiedFolderError
 from berylnotch.errors import StorageError
 
-#: File that holds the replica id and the inodes it was made with.
+#: File that holds the replica id and the inode numbers of the folder and of the file
+#: itself at creation.
 IDENTITY_FILE = "identity"
 
-#: File that the running process locks.
+#: File that is locked by the process that uses the folder.
 LOCK_FILE = "lock"
 
-#: Suffix of files that are not yet complete.
+#: Suffix of files that are being written and are not yet complete.
 TEMPORARY_SUFFIX = ".tmp"
 
 
 def sync_folder(folder: Path) -> None:
-    """Make creations, renames and removals in a folder durable."""
+    """Make file creations, renames and removals in a folder durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -30,8 +31,8 @@
         os.close(descriptor)
 
 
-def write_durably(path: Path, *parts: bytes) -> None:
-    """Write a file so that after a crash the old or the new one is there."""
+def replace_file_atomically(path: Path, *parts: bytes) -> None:
+    """Replace a file so that a crash leaves either the old or the new content."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     with open(temporary, "wb") as file:
         for part in parts:
@@ -42,13 +43,13 @@
     sync_folder(path.parent)
 
 
-def lock(folder: Path) -> IO[bytes]:
-    """Lock a folder for this process; closing the file unlocks it.
+def lock_folder(folder: Path) -> IO[bytes]:
+    """Lock a folder for this process; closing the returned file unlocks it.
 
     Raises
     ------
     StorageError
-        If another process holds it.
+        If another process holds the lock.
     """
     file = open(folder / LOCK_FILE, "ab")
     try:
@@ -59,14 +60,17 @@
     return file
 
 
-def remove_temporary(folder: Path) -> None:
-    """Remove what a crash left incomplete."""
+def remove_temporary_files(folder: Path) -> None:
+    """Remove files that a crash left incomplete."""
     for path in folder.glob("*" + TEMPORARY_SUFFIX):
         path.unlink()
 
 
-def make_identity(folder: Path, name: str, identity: str = "") -> str:
-    """Give a new data folder its replica id, by default a random one; return it."""
+def create_identity(folder: Path, name: str, identity: str = "") -> str:
+    """Write the replica id of a new data folder and return the id.
+
+    The id is ``identity``, or ``name/hex`` with random digits if that is empty.
+    """
     identity = identity or f"{name}/{secrets.token_hex(8)}"
     path = folder / IDENTITY_FILE
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
@@ -82,23 +86,26 @@
 
 
 def read_identity(folder: Path, checks_copy: bool = True) -> str | None:
-    """Return the folder's replica id, or None if it has none.
+    """Return the replica id of a folder, or None if it has no identity file.
 
-    With ``checks_copy``, the folder must be the one that the id was made with.
+    With ``checks_copy``, the inode numbers of the folder and of the file must be those
+    stored at creation; other numbers mean that the folder is a copy.
 
     Raises
     ------
     CopiedFolderError
-        If the folder or the file is not the one that the id was made with.
+        If the inode numbers differ from the stored ones.
     StorageError
-        If the file is damaged.
+        If the identity file is damaged.
     """
     path = folder / IDENTITY_FILE
     if not path.exists():
         return None
     lines = path.read_text(encoding="utf-8", errors="replace").splitlines()
     if len(lines) != 2 or "/" not in lines[0]:
-        raise StorageError(f"{path} is damaged")
+        raise StorageError(
+            f"{path} is damaged: it must hold a replica id and inode numbers on two lines"
+        )
     if checks_copy and lines[1] != f"{folder.stat().st_ino} {path.stat().st_ino}":
         raise CopiedFolderError(
             f"{folder} was copied or restored, so its votes and log may be older "
--- a/berylnotch/consensus/following.py
+++ b/berylnotch/consensus/following.py
@@ -1,4 +1,4 @@
-"""What a follower does with its leader's entries and snapshots."""
+"""Handling of the leader's entries and snapshots on a follower."""
 
 from __future__ import annotations
 
@@ -16,26 +16,28 @@
     from berylnotch.consensus.core import Core
 
 
-def append(core: Core, request: AppendRequest) -> AppendReply:
-    """Take the leader's entries.
+def append_entries(core: Core, request: AppendRequest) -> AppendReply:
+    """Append the leader's entries to the log.
 
     Returns
     -------
     AppendReply
-        ``match`` is the last index that equals the leader's log; if the
-        entries do not fit, it is where the logs may still be equal.
+        If ``ok``, ``match`` is the last index up to which the log equals the leader's.
+        If the entries do not follow this log, ``match`` is a hint: the last index up
+        to which the logs may still be equal.
     """
     match = request.prev_index + len(request.entries)
-    if request.prev_index > core.commit:
+    if request.prev_index > core.commit_index:
         if core.log.term_at(request.prev_index) != request.prev_term:
-            return _append_reply(core, request, False, _match_hint(core, request))
-    # Committed entries are equal in all logs, also where they are compacted.
-    core.log.merge(tuple(e for e in request.entries if e.index > core.commit))
+            return _make_append_reply(core, request, False, _match_hint(core, request))
+    # Committed entries are equal in all logs, including entries that were compacted
+    # here and can no longer be compared.
+    core.log.merge(tuple(e for e in request.entries if e.index > core.commit_index))
     core.advance_commit(min(request.commit, match))
-    return _append_reply(core, request, True, match)
+    return _make_append_reply(core, request, True, match)
 
 
-def _append_reply(
+def _make_append_reply(
     core: Core, request: AppendRequest, ok: bool, match: int
 ) -> AppendReply:
     return AppendReply(core.term, core.identity, ok, match, request.round)
@@ -44,11 +46,11 @@
 def _match_hint(core: Core, request: AppendRequest) -> int:
     if request.prev_index > core.log.last_index:
         return core.log.last_index
-    return max(core.commit, core.log.first_of_term(request.prev_index) - 1)
+    return max(core.commit_index, core.log.first_index_of_term(request.prev_index) - 1)
 
 
 class SnapshotReceiver:
-    """Collects the parts of one snapshot.
+    """Assembles a snapshot from the parts that the leader sends.
 
     Parameters
     ----------
@@ -58,20 +60,20 @@
 
     def __init__(self, core: Core) -> None:
         self._core = core
-        self._source: tuple[str, int, int] = ("", 0, 0)
+        self._snapshot_id: tuple[str, int, int] = ("", 0, 0)
         self._data = bytearray()
 
-    def receive(self, request: SnapshotRequest) -> SnapshotReply:
-        """Take one part; the last one installs the snapshot."""
+    def receive_part(self, request: SnapshotRequest) -> SnapshotReply:
+        """Store one part of a snapshot; the last part installs the snapshot."""
         core = self._core
-        if request.last_index <= core.commit:
+        if request.last_index <= core.commit_index:
             return self._reply(request, done=True)
         if core.log.term_at(request.last_index) == request.last_term:
             core.advance_commit(request.last_index)
             return self._reply(request, done=True)
-        source = (request.leader, request.last_index, request.last_term)
-        if source != self._source:
-            self._source = source
+        snapshot_id = (request.leader, request.last_index, request.last_term)
+        if snapshot_id != self._snapshot_id:
+            self._snapshot_id = snapshot_id
             self._data = bytearray()
         if request.offset != len(self._data):
             return self._reply(request, done=False)
@@ -85,13 +87,13 @@
         snapshot = Snapshot(
             request.last_index, request.last_term, request.members, bytes(self._data)
         )
-        core.log.install(snapshot)
-        core.installed = snapshot
-        core.commit = snapshot.last_index
-        self._forget()
+        core.log.install_snapshot(snapshot)
+        core.installed_snapshot = snapshot
+        core.commit_index = snapshot.last_index
+        self._reset()
 
-    def _forget(self) -> None:
-        self._source = ("", 0, 0)
+    def _reset(self) -> None:
+        self._snapshot_id = ("", 0, 0)
         self._data = bytearray()
 
     def _reply(self, request: SnapshotRequest, done: bool) -> SnapshotReply:
--- a/berylnotch/consensus/leading.py
+++ b/berylnotch/consensus/leading.py
@@ -1,4 +1,4 @@
-"""What a leader does: replicate, count majorities and keep its lease."""
+"""Leader behaviour: replication, commitment by majority and the leader lease."""
 
 from __future__ import annotations
 
@@ -14,7 +14,12 @@
     SnapshotReply,
     SnapshotRequest,
 )
-from berylnotch.consensus.progress import NEVER, Progress, Rounds, majority_value
+from berylnotch.consensus.progress import (
+    NEVER,
+    HeartbeatRounds,
+    Progress,
+    majority_value,
+)
 
 if TYPE_CHECKING:
     from berylnotch.consensus.core import Core
@@ -22,7 +27,7 @@
 
 
 class Leader:
-    """A leader's state in one term.
+    """State of a leader during one term.
 
     Parameters
     ----------
@@ -34,94 +39,99 @@
 
     def __init__(self, core: Core, now: float) -> None:
         self._core = core
-        self._rounds = Rounds()
+        self._rounds = HeartbeatRounds()
         self._progress: dict[str, Progress] = {}
         self._elected_at = now
-        self._round_at = now
+        self._round_started_at = now
         self._uncommitted_bytes = 0
-        self._first_index = core.log.last_index + 1
-        self._follow_members()
-        self._append(EntryKind.NOOP, b"")
-        self._start_round(now)
+        self._term_first_index = core.log.last_index + 1
+        self._sync_progress()
+        self._append_entry(EntryKind.NOOP, b"")
+        self._start_heartbeat_round(now)
 
     @property
     def progress(self) -> dict[str, Progress]:
-        """Progress of each other member by replica id."""
+        """Replication progress of each other member, by replica id."""
         return self._progress
 
-    def majority_sent_at(self, now: float) -> float:
-        """Return when the newest round was sent that a majority answered."""
-        acked = {replica: p.acked_at for replica, p in self._progress.items()}
+    def lease_started_at(self, now: float) -> float:
+        """Return the sending time of the newest round that a majority answered."""
+        acked_sent_at = {
+            replica: p.acked_round_sent_at for replica, p in self._progress.items()
+        }
         core = self._core
-        return majority_value(core.members, core.identity, now, acked)
+        return majority_value(core.members, core.identity, now, acked_sent_at)
 
     def has_lease(self, now: float) -> bool:
-        """Whether no other replica can lead now, and old entries are committed."""
-        if self._core.commit < self._first_index:
+        """Whether no other replica can lead, and all older entries are committed."""
+        if self._core.commit_index < self._term_first_index:
             return False
-        return now - self.majority_sent_at(now) < self._core.settings.lease_s
+        return now - self.lease_started_at(now) < self._core.settings.lease_s
+
+    def has_lost_quorum(self, now: float) -> bool:
+        """Whether no majority answered a round sent within the last ``lease_s``.
 
-    def is_expired(self, now: float) -> bool:
-        """Whether no majority answered a round of the last lease."""
-        start = max(self.majority_sent_at(now), self._elected_at)
+        It is false during the first ``lease_s`` after the election.
+        """
+        start = max(self.lease_started_at(now), self._elected_at)
         return now - start >= self._core.settings.lease_s
 
     def tick(self, now: float) -> None:
         """Start a heartbeat round if one is due."""
-        if now - self._round_at >= self._core.settings.heartbeat_s:
-            self._start_round(now)
+        if now - self._round_started_at >= self._core.settings.heartbeat_s:
+            self._start_heartbeat_round(now)
 
     def propose(self, payload: bytes) -> int:
-        """Append a command; return its index."""
+        """Append a command and return its index."""
         settings = self._core.settings
         if len(payload) > settings.max_entry_bytes:
             raise PayloadError(
                 f"a proposal of {len(payload)} bytes exceeds {settings.max_entry_bytes}"
             )
-        waiting = self._core.log.last_index - self._core.commit
-        if waiting >= settings.max_uncommitted_entries:
-            raise OverloadedError(f"{waiting} proposals wait for a majority")
+        uncommitted = self._core.log.last_index - self._core.commit_index
+        if uncommitted >= settings.max_uncommitted_entries:
+            raise OverloadedError(f"{uncommitted} proposals wait for a majority")
         if self._uncommitted_bytes >= settings.max_uncommitted_bytes:
             raise OverloadedError(f"{self._uncommitted_bytes} bytes wait likewise")
-        return self._append(EntryKind.COMMAND, payload)
+        return self._append_entry(EntryKind.COMMAND, payload)
 
     def propose_members(self, members: Members) -> int:
-        """Append a membership change; return its index."""
+        """Append a membership change and return its index."""
         core = self._core
-        if core.commit < self._first_index:
+        if core.commit_index < self._term_first_index:
             raise MembershipError("this leader has not yet committed an entry")
-        if core.log.members_index > core.commit:
+        if core.log.members_index > core.commit_index:
             raise MembershipError("another membership change is not yet committed")
         check_change(core.members, members)
-        index = self._append(EntryKind.MEMBERS, encode_members(members))
-        self._follow_members()
+        index = self._append_entry(EntryKind.MEMBERS, encode_members(members))
+        self._sync_progress()
         return index
 
-    def successor(self) -> str:
-        """Return the other voter with the longest matching log, or empty."""
+    def select_successor(self) -> str:
+        """Return the other voter with the highest match index, or empty if none."""
         candidates = voters(self._core.members) & self._progress.keys()
         return max(candidates, key=lambda r: (self._progress[r].match, r), default="")
 
-    def receive_append(self, now: float, reply: AppendReply) -> None:
-        """Note a replica's answer to entries or a heartbeat."""
+    def on_append_reply(self, now: float, reply: AppendReply) -> None:
+        """Process a replica's reply to entries or to a heartbeat."""
         progress = self._progress.get(reply.replica)
         if progress is None:
             return
-        progress.heard(now, self._rounds.sent_at(reply.round))
+        progress.record_reply(now, self._rounds.sent_at(reply.round))
         if progress.snapshot is not None:
             return
-        progress.is_waiting = False
+        progress.is_awaiting_reply = False
         if reply.ok:
-            progress.matched(reply.match, reply.round)
+            progress.record_match(reply.match, reply.round)
         else:
-            progress.rejected(reply.match, reply.round)
+            progress.record_mismatch(reply.match, reply.round)
 
-    def receive_snapshot(self, now: float, reply: SnapshotReply) -> None:
-        """Note a replica's answer to a part of a snapshot."""
+    def on_snapshot_reply(self, now: float, reply: SnapshotReply) -> None:
+        """Process a replica's reply to a part of a snapshot."""
         progress = self._progress.get(reply.replica)
         if progress is None:
             return
-        progress.heard(now, self._rounds.sent_at(reply.round))
+        progress.record_reply(now, self._rounds.sent_at(reply.round))
         if progress.snapshot is None:
             return
         if progress.snapshot.last_index != reply.last_index:
@@ -129,56 +139,56 @@
         if reply.done:
             progress.finish_snapshot(reply.last_index)
         else:
-            progress.move_offset(reply.offset)
+            progress.set_offset(reply.offset)
 
     def update_commit(self) -> None:
-        """Commit what a majority saved, if the last of it is of this term."""
+        """Commit the entries saved by a majority, if the last is of this term."""
         core = self._core
-        matches = {replica: p.match for replica, p in self._progress.items()}
+        match_indexes = {replica: p.match for replica, p in self._progress.items()}
         index = majority_value(
-            core.members, core.identity, core.log.saved_index, matches
+            core.members, core.identity, core.log.saved_index, match_indexes
         )
-        if index == NEVER or index <= core.commit:
+        if index == NEVER or index <= core.commit_index:
             return
         if core.log.term_at(int(index)) != core.term:
             return
-        committed = core.log.between(core.commit + 1, int(index))
+        committed = core.log.entries_between(core.commit_index + 1, int(index))
         self._uncommitted_bytes -= sum(len(entry.payload) for entry in committed)
         core.advance_commit(int(index))
 
     def send_entries(self) -> None:
-        """Queue what each replica lacks, as far as it may be sent ahead."""
+        """Queue missing entries for each replica, up to ``max_inflight_entries``."""
         for replica, progress in self._progress.items():
-            while self._may_send(progress):
-                self._send(replica, progress)
+            while self._can_send(progress):
+                self._send_next(replica, progress)
 
-    def send_commit(self) -> None:
-        """Tell every replica the commit index."""
+    def broadcast_commit_index(self) -> None:
+        """Send the commit index to every replica."""
         for replica, progress in self._progress.items():
-            self._send(replica, progress)
+            self._send_next(replica, progress)
 
-    def _may_send(self, progress: Progress) -> bool:
+    def _can_send(self, progress: Progress) -> bool:
         if progress.snapshot is not None or progress.is_probing:
-            if progress.is_waiting:
+            if progress.is_awaiting_reply:
                 return False
         if progress.snapshot is not None:
             return True
         last_index = self._core.log.last_index
-        ahead = progress.next_index - 1 - progress.match
+        inflight_entries = progress.next_index - 1 - progress.match
         limit = self._core.settings.max_inflight_entries
-        return progress.next_index <= last_index and ahead < limit
+        return progress.next_index <= last_index and inflight_entries < limit
 
-    def _start_round(self, now: float) -> None:
-        self._round_at = now
+    def _start_heartbeat_round(self, now: float) -> None:
+        self._round_started_at = now
         self._rounds.start(now)
         for replica, progress in self._progress.items():
             if progress.snapshot is not None:
                 self._send_heartbeat(replica)
-                progress.count_part_round(self._core.log.snapshot)
+                progress.count_unanswered_round(self._core.log.snapshot)
             else:
-                self._send(replica, progress)
+                self._send_next(replica, progress)
 
-    def _send(self, replica: str, progress: Progress) -> None:
+    def _send_next(self, replica: str, progress: Progress) -> None:
         core = self._core
         if progress.snapshot is None:
             prev_term = core.log.term_at(progress.next_index - 1)
@@ -186,7 +196,7 @@
                 self._send_append(replica, progress, prev_term)
                 return
             progress.start_snapshot(core.log.snapshot)
-        self._send_part(replica, progress)
+        self._send_snapshot_part(replica, progress)
 
     def _send_append(self, replica: str, progress: Progress, prev_term: int) -> None:
         core = self._core
@@ -196,37 +206,38 @@
             core.identity,
             progress.next_index - 1,
             prev_term,
-            core.commit,
+            core.commit_index,
             self._rounds.number,
             entries,
             core.address,
             replica,
         )
         core.send(replica, request)
-        progress.is_waiting = True
+        progress.is_awaiting_reply = True
         if not progress.is_probing:
             progress.next_index += len(entries)
 
     def _next_entries(self, progress: Progress) -> tuple[Entry, ...]:
         settings = self._core.settings
-        ahead = progress.next_index - 1 - progress.match
-        if progress.is_probing or ahead >= settings.max_inflight_entries:
+        inflight_entries = progress.next_index - 1 - progress.match
+        if progress.is_probing or inflight_entries >= settings.max_inflight_entries:
             return ()
         return self._core.log.batch(
             progress.next_index, settings.max_append_entries, settings.max_append_bytes
         )
 
     def _send_heartbeat(self, replica: str) -> None:
-        # A replica that needs a snapshot cannot check any held entry; every
-        # log agrees on index 0, so this only renews lease and timers.
+        # A replica that needs a snapshot may lack every entry held here. Index 0 is
+        # equal in all logs, so a request from there always succeeds; it only renews
+        # the lease and the replica's election timer.
         core = self._core
-        number = self._rounds.number
+        round_number = self._rounds.number
         request = AppendRequest(
-            core.term, core.identity, 0, 0, 0, number, (), core.address, replica
+            core.term, core.identity, 0, 0, 0, round_number, (), core.address, replica
         )
         core.send(replica, request)
 
-    def _send_part(self, replica: str, progress: Progress) -> None:
+    def _send_snapshot_part(self, replica: str, progress: Progress) -> None:
         core, snapshot = self._core, progress.snapshot
         end = progress.offset + core.settings.snapshot_part_bytes
         request = SnapshotRequest(
@@ -243,16 +254,16 @@
             replica,
         )
         core.send(replica, request)
-        progress.is_waiting = True
+        progress.is_awaiting_reply = True
 
-    def _append(self, kind: EntryKind, payload: bytes) -> int:
+    def _append_entry(self, kind: EntryKind, payload: bytes) -> int:
         core = self._core
         index = core.log.last_index + 1
         core.log.append((Entry(index, core.term, kind, payload),))
         self._uncommitted_bytes += len(payload)
         return index
 
-    def _follow_members(self) -> None:
+    def _sync_progress(self) -> None:
         core = self._core
         current = {member.replica for member in core.members.members}
         for replica in self._progress.keys() - current:
--- a/berylnotch/consensus/log.py
+++ b/berylnotch/consensus/log.py
@@ -1,4 +1,4 @@
-"""The part of the replicated log that a replica holds in memory."""
+"""Part of the replicated log that a replica holds in memory."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class Log:
-    """Entries behind a base, with the membership that they carry.
+    """Log entries after a base index, and the memberships that they define.
 
-    The base is the newest entry that is no longer held; its term is still
-    known. Entries up to `saved_index` are durable on this replica.
+    The base is the newest entry that is no longer held in memory; its index and term
+    are still known. Entries up to `saved_index` are durable on this replica.
 
     Parameters
     ----------
     snapshot : Snapshot or None
         Newest snapshot.
     entries : tuple of Entry
-        Saved entries; they may begin before the snapshot's end.
+        Saved entries; they may begin before the last index of the snapshot.
     """
 
     def __init__(self, snapshot: Snapshot | None, entries: tuple[Entry, ...]) -> None:
@@ -37,7 +37,7 @@
         self._members: list[tuple[int, Members]] = [(0, Members())]
         if snapshot:
             self._members = [(snapshot.last_index, snapshot.members)]
-        self._note_members(self._entries)
+        self._record_members(self._entries)
         self._saved_index = self.last_index
         self._truncated_from: int | None = None
 
@@ -48,7 +48,7 @@
 
     @property
     def base_index(self) -> int:
-        """Index of the newest entry that is no longer held."""
+        """Index of the newest entry that is no longer held in memory."""
         return self._base_index
 
     @property
@@ -63,12 +63,12 @@
 
     @property
     def saved_index(self) -> int:
-        """Index up to which entries are durable here."""
+        """Index up to which entries are durable on this replica."""
         return self._saved_index
 
     @property
     def truncated_from(self) -> int | None:
-        """Index from which saved entries became void and are not yet replaced."""
+        """First saved index that was truncated, until this is passed to the storage."""
         return self._truncated_from
 
     @property
@@ -82,51 +82,59 @@
         return self._members[-1][0]
 
     def members_at(self, index: int) -> Members:
-        """Return the membership that was in force after ``index``."""
-        found = [members for at, members in self._members if at <= index]
-        return found[-1] if found else self._members[0][1]
+        """Return the membership in force after the entry at ``index``."""
+        memberships = [members for start, members in self._members if start <= index]
+        return memberships[-1] if memberships else self._members[0][1]
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None if it is not held."""
+        """Return the term of the entry at ``index``, or None if it is unknown."""
         if index == self._base_index:
             return self._base_term
         if self._base_index < index <= self.last_index:
             return self._entries[index - self._base_index - 1].term
         return None
 
-    def first_of_term(self, index: int) -> int:
-        """Return the first held index with the same term as ``index``."""
+    def first_index_of_term(self, index: int) -> int:
+        """Return the first index held in memory with the same term as ``index``."""
         term = self.term_at(index)
         while index > self._base_index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
-    def between(self, first: int, last: int) -> tuple[Entry, ...]:
+    def entries_between(self, first: int, last: int) -> tuple[Entry, ...]:
         """Return the entries from ``first`` to ``last``, both included."""
         start = first - self._base_index - 1
         return tuple(self._entries[start : last - self._base_index])
 
-    def batch(self, first: int, entries: int, size: int) -> tuple[Entry, ...]:
-        """Return up to ``entries`` entries of ``size`` bytes, at least one if any."""
-        chosen: list[Entry] = []
-        for entry in self.between(first, min(self.last_index, first + entries - 1)):
-            size -= len(entry.payload)
-            if chosen and size < 0:
+    def batch(
+        self, first: int, max_entries: int, remaining_bytes: int
+    ) -> tuple[Entry, ...]:
+        """Return the entries from ``first`` on that fit into one message.
+
+        At most ``max_entries`` entries with ``remaining_bytes`` of payload are
+        returned, but at least one if there is one, whatever its size.
+        """
+        selected: list[Entry] = []
+        for entry in self.entries_between(
+            first, min(self.last_index, first + max_entries - 1)
+        ):
+            remaining_bytes -= len(entry.payload)
+            if selected and remaining_bytes < 0:
                 break
-            chosen.append(entry)
-        return tuple(chosen)
+            selected.append(entry)
+        return tuple(selected)
 
-    def unsaved(self) -> tuple[Entry, ...]:
-        """Return the entries that are not durable here."""
-        return self.between(self._saved_index + 1, self.last_index)
+    def unsaved_entries(self) -> tuple[Entry, ...]:
+        """Return the entries that are not yet durable on this replica."""
+        return self.entries_between(self._saved_index + 1, self.last_index)
 
     def append(self, entries: tuple[Entry, ...]) -> None:
         """Append entries that follow the last one."""
         self._entries.extend(entries)
-        self._note_members(entries)
+        self._record_members(entries)
 
     def merge(self, entries: tuple[Entry, ...]) -> None:
-        """Append the leader's entries; a conflicting suffix is dropped."""
+        """Append the leader's entries; a conflicting suffix of the log is removed."""
         for position, entry in enumerate(entries):
             if self.term_at(entry.index) == entry.term:
                 continue
@@ -136,18 +144,18 @@
             return
 
     def mark_saved(self, entries: tuple[Entry, ...]) -> None:
-        """Note that these entries are durable, as far as they still stand."""
+        """Record that entries are durable; entries replaced since are ignored."""
         for entry in reversed(entries):
             if self.term_at(entry.index) == entry.term:
                 self._saved_index = max(self._saved_index, entry.index)
                 return
 
     def clear_truncated(self) -> None:
-        """Note that a truncation was handed to the storage."""
+        """Record that the truncation was passed to the storage."""
         self._truncated_from = None
 
-    def install(self, snapshot: Snapshot) -> None:
-        """Replace everything by a snapshot."""
+    def install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the whole log by a snapshot."""
         self._snapshot = snapshot
         self._base_index = snapshot.last_index
         self._base_term = snapshot.last_term
@@ -157,7 +165,7 @@
         self._truncated_from = None
 
     def compact(self, snapshot: Snapshot, keep_entries: int) -> None:
-        """Drop entries that a snapshot holds, but for the newest of them."""
+        """Drop entries covered by a snapshot, except the newest ``keep_entries``."""
         self._snapshot = snapshot
         base = max(self._base_index, snapshot.last_index - keep_entries)
         base_term = self.term_at(base)
@@ -175,7 +183,7 @@
             self._saved_index = index - 1
             self._truncated_from = index
 
-    def _note_members(self, entries: tuple[Entry, ...] | list[Entry]) -> None:
+    def _record_members(self, entries: tuple[Entry, ...] | list[Entry]) -> None:
         for entry in entries:
             if entry.kind is EntryKind.MEMBERS and entry.index > self._members[-1][0]:
                 self._members.append((entry.index, decode_members(entry.payload)))
--- a/berylnotch/consensus/members.py
+++ b/berylnotch/consensus/members.py
@@ -1,4 +1,4 @@
-"""Rules of the group's membership."""
+"""Quorum, rules of membership changes and encoding of the membership."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: First byte of Cap'n Proto bytes; a packed message never begins with it.
-_OLD_FIRST_BYTE = b"\x00"
+#: First byte of every Cap'n Proto message; a packed message never begins with it.
+_CAPNP_FIRST_BYTE = b"\x00"
 
 
 def voters(members: Members) -> frozenset[str]:
-    """Return the ids of the replicas that vote."""
+    """Return the replica ids of the voters."""
     return frozenset(m.replica for m in members.members if m.role is Role.VOTER)
 
 
-def quorum(members: Members) -> int:
-    """Return how many voters are a majority."""
+def quorum_size(members: Members) -> int:
+    """Return the number of voters that form a majority."""
     return len(voters(members)) // 2 + 1
 
 
-def find(members: Members, replica: str) -> Member | None:
-    """Return the member with this replica id."""
+def find_member(members: Members, replica: str) -> Member | None:
+    """Return the member with this replica id, or None."""
     return next((m for m in members.members if m.replica == replica), None)
 
 
 def has_quorum(members: Members, replicas: Iterable[str]) -> bool:
-    """Return whether these replicas hold a majority of the voters."""
-    return len(voters(members).intersection(replicas)) >= quorum(members)
+    """Return whether ``replicas`` include a majority of the voters."""
+    return len(voters(members).intersection(replicas)) >= quorum_size(members)
 
 
 def check_change(old: Members, new: Members) -> None:
-    """Check that one change leads from ``old`` to ``new``.
+    """Check that ``new`` differs from ``old`` by one allowed change.
 
-    One change adds a learner, promotes a learner, removes a member or gives a
-    member another address. So any majority before and after share a voter.
+    One change adds a learner, promotes a learner, removes a member or changes a
+    member's address. Any majority of the old voters and any majority of the new ones
+    then share a voter, so two leaders cannot be elected in one term.
 
     Raises
     ------
     MembershipError
-        If it is none of these.
+        If the difference is not one of these changes.
     """
     before = {member.replica: member for member in old.members}
     after = {member.replica: member for member in new.members}
@@ -72,8 +73,8 @@
 
 def decode_members(payload: bytes) -> Members:
     """Return the members of a MEMBERS entry's payload."""
-    if payload.startswith(_OLD_FIRST_BYTE):
-        # Logs written before version 0.2 hold Cap'n Proto bytes.
+    if payload.startswith(_CAPNP_FIRST_BYTE):
+        # Logs written before version 0.2 hold Cap'n Proto messages.
         from berylnotch.transport.codec import decode
 
         return decode(payload)
--- a/berylnotch/consensus/messages.py
+++ b/berylnotch/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas of the log."""
+"""Messages between the replicas of a group, and the values that they carry."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EntryKind(Enum):
-    """What a log entry holds."""
+    """Content of a log entry."""
 
     NOOP = "noop"
     COMMAND = "command"
@@ -16,7 +16,7 @@
 
 
 class Role(Enum):
-    """Part a replica has in the group."""
+    """Whether a member votes (voter) or only receives the log (learner)."""
 
     VOTER = "voter"
     LEARNER = "learner"
@@ -29,10 +29,10 @@
     Parameters
     ----------
     name : str
-        Name of the VM's controller, as in the settings.
+        Name of the controller on the VM, as in its settings.
     replica : str
-        Name and random id of the data folder, ``name/hex``. A wiped folder
-        gets a new id and so never votes under the old one.
+        Replica id, ``name/hex``: the name and a random id of the data folder. A
+        wiped folder gets a new id, so it never votes under the old one again.
     address : str
         ``host:port``.
     failure_domain : str
@@ -50,7 +50,7 @@
 
 @frozen
 class Members:
-    """Membership of the group, in force from the moment it is in the log."""
+    """Membership of the group; it is in force once it is in the log."""
 
     members: tuple[Member, ...] = ()
 
@@ -67,12 +67,12 @@
 
 @frozen
 class VoteRequest:
-    """Candidate's request for a vote; ``pre`` asks without a new term.
+    """Candidate's request for a vote, or for a pre-vote if ``pre`` is set.
 
-    ``transfer`` tells that the leader gave up its lease for this candidate.
-    ``address`` is where the answer goes if the candidate is not yet known.
-    ``replica`` is whom it is for: after a disk was wiped, another replica may
-    listen at the same address.
+    A pre-vote is requested without a new term. ``transfer`` means that the leader gave
+    up its lease for this candidate. ``address`` is where the reply goes if the
+    candidate is not yet a known member. ``replica`` is the recipient: after a disk was
+    wiped, another replica may listen at the same address.
     """
 
     term: int
@@ -87,10 +87,10 @@
 
 @frozen
 class VoteReply:
-    """Answer to a `VoteRequest`.
+    """Reply to a `VoteRequest`.
 
-    ``supported_term`` is the voter's term if its newest vote went to the candidate, or
-    if it last followed it; else 0.
+    ``supported_term`` is the voter's term if the voter followed the candidate in this
+    term, or followed no leader and voted for the candidate; else it is 0.
     """
 
     term: int
@@ -102,12 +102,12 @@
 
 @frozen
 class AppendRequest:
-    """Leader's entries and heartbeat.
+    """Entries from the leader; without entries, a heartbeat.
 
-    ``round`` numbers the leader's heartbeat rounds. A reply repeats it, so
-    that the leader counts a lease from when the round was sent, not from when
-    the answer came. ``address`` is the leader's, for replicas that do not yet
-    know the members. ``replica`` is whom it is for.
+    ``round`` is the number of the leader's heartbeat round. The reply repeats it, so
+    that the lease runs from the time at which the round was sent, not from the arrival
+    of the reply. ``address`` is the leader's address, for replicas that do not yet
+    know the members. ``replica`` is the recipient.
     """
 
     term: int
@@ -123,7 +123,11 @@
 
 @frozen
 class AppendReply:
-    """Answer to an `AppendRequest`; ``match`` is a hint if not ``ok``."""
+    """Reply to an `AppendRequest`.
+
+    ``match`` is the last index up to which the logs are equal; if ``ok`` is false, it
+    is only a hint up to where they may be.
+    """
 
     term: int
     replica: str
@@ -134,7 +138,7 @@
 
 @frozen
 class SnapshotRequest:
-    """One part of a snapshot, at most 256 KiB of ``data``."""
+    """One part of a snapshot, with at most 256 KiB of ``data`` by default."""
 
     term: int
     leader: str
@@ -151,7 +155,7 @@
 
 @frozen
 class SnapshotReply:
-    """Answer to a `SnapshotRequest`; ``offset`` is where to go on."""
+    """Reply to a `SnapshotRequest`; ``offset`` is the start of the next part."""
 
     term: int
     replica: str
@@ -163,7 +167,7 @@
 
 @frozen
 class TimeoutNow:
-    """Leader's request to stand for election at once; its lease is over."""
+    """Leader's request to stand for election at once; the leader's lease has ended."""
 
     term: int
     leader: str
--- a/berylnotch/consensus/progress.py
+++ b/berylnotch/consensus/progress.py
@@ -1,10 +1,10 @@
-"""What a leader knows of its heartbeat rounds and of each other replica."""
+"""Leader's record of its heartbeat rounds and of each replica's progress."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from berylnotch.consensus.members import quorum, voters
+from berylnotch.consensus.members import quorum_size, voters
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -12,21 +12,21 @@
     from berylnotch.consensus.messages import Members
     from berylnotch.consensus.state import Snapshot
 
-#: Rounds whose sending time is remembered; answers to older ones are too late.
-MAX_ROUNDS = 256
+#: Rounds whose sending time is stored; replies to older rounds do not renew the lease.
+MAX_TRACKED_ROUNDS = 256
 
 #: Rounds after which an unanswered part of a snapshot is sent again.
-PART_ROUNDS = 5
+PART_RESEND_ROUNDS = 5
 
-#: Rounds after which an older snapshot is no longer offered.
-MAX_PART_ROUNDS = 50
+#: Rounds without a reply after which the newest snapshot replaces the one being sent.
+SNAPSHOT_RESTART_ROUNDS = 50
 
-#: Time in seconds that stands for "never".
+#: Time in seconds that means "never".
 NEVER = float("-inf")
 
 
-class Rounds:
-    """Sending times of the leader's heartbeat rounds."""
+class HeartbeatRounds:
+    """Numbers and sending times of the leader's heartbeat rounds."""
 
     def __init__(self) -> None:
         self._number = 0
@@ -38,18 +38,18 @@
         return self._number
 
     def start(self, now: float) -> None:
-        """Begin a round that is sent at ``now`` or later."""
+        """Start a round that is sent at ``now`` or later."""
         self._number += 1
         self._sent_at[self._number] = now
-        self._sent_at.pop(self._number - MAX_ROUNDS, None)
+        self._sent_at.pop(self._number - MAX_TRACKED_ROUNDS, None)
 
     def sent_at(self, number: int) -> float:
-        """Return when a round was sent, or `NEVER` if that is forgotten."""
+        """Return the sending time of a round, or `NEVER` if it is no longer stored."""
         return self._sent_at.get(number, NEVER)
 
 
 class Progress:
-    """How far another replica's log is known to equal the leader's.
+    """Replication progress of one other replica, as known to the leader.
 
     Parameters
     ----------
@@ -58,80 +58,87 @@
     """
 
     def __init__(self, next_index: int) -> None:
-        #: Last index known to be equal and durable there.
+        #: Last index up to which its log is known to be durable and equal to the
+        #: leader's.
         self.match = 0
         #: Index of the next entry to send.
         self.next_index = next_index
-        #: Sending time of the newest round that it answered.
-        self.acked_at = NEVER
-        #: When its last answer came.
+        #: Sending time of the newest round that it answered, in monotonic seconds.
+        self.acked_round_sent_at = NEVER
+        #: Arrival time of its last reply, in monotonic seconds.
         self.heard_at = NEVER
-        #: Whether the matching index is unknown, so that one request at a
-        #: time is sent.
+        #: Whether the last equal index is unknown, so that one request at a time is
+        #: sent.
         self.is_probing = True
-        #: Whether something was sent since the last answer or round.
-        self.is_waiting = False
-        #: Snapshot that is being sent, and the offset of its next part.
+        #: Whether a request was sent that has no reply yet. While probing or sending a
+        #: snapshot, the next request waits for the reply, for the next heartbeat round
+        #: or for the time to send the part again.
+        self.is_awaiting_reply = False
+        #: Snapshot that is being sent, if any, and the byte offset of its next part.
         self.snapshot: Snapshot | None = None
         self.offset = 0
-        #: Whether it lost entries that it had acknowledged, as a restored copy
-        #: of an older data folder does.
+        #: Whether it lost entries that it had acknowledged. This happens if an older
+        #: copy of its data folder is restored.
         self.has_lost_entries = False
-        self._matched_round = 0
-        self._part_rounds = 0
+        self._match_round = 0
+        self._unanswered_rounds = 0
 
-    def heard(self, now: float, sent_at: float) -> None:
-        """Note an answer to a round that was sent at ``sent_at``."""
+    def record_reply(self, now: float, sent_at: float) -> None:
+        """Record a reply to a round that was sent at ``sent_at``."""
         self.heard_at = now
-        self.acked_at = max(self.acked_at, sent_at)
+        self.acked_round_sent_at = max(self.acked_round_sent_at, sent_at)
 
-    def matched(self, index: int, number: int) -> None:
-        """Note that the logs were equal up to ``index`` in this round."""
+    def record_match(self, index: int, round_number: int) -> None:
+        """Record that the logs were equal up to ``index`` in this round."""
         if index > self.match:
             self.match = index
-            self._matched_round = number
+            self._match_round = round_number
         self.next_index = max(self.next_index, self.match + 1)
         self.is_probing = False
 
-    def rejected(self, hint: int, number: int) -> None:
-        """Go back to where the logs may still be equal.
+    def record_mismatch(self, match_hint: int, round_number: int) -> None:
+        """Go back to the index up to which the logs may still be equal.
 
-        If a later round finds the logs equal up to less than before, the
-        replica lost what it had acknowledged.
+        If a later round reports a lower index than `match`, the replica lost entries
+        that it had acknowledged.
         """
-        if hint < self.match and number > self._matched_round:
+        if match_hint < self.match and round_number > self._match_round:
             self.has_lost_entries = True
-        self.next_index = max(self.match + 1, min(self.next_index, hint + 1))
+        self.next_index = max(self.match + 1, min(self.next_index, match_hint + 1))
         self.is_probing = True
 
-    def move_offset(self, offset: int) -> None:
-        """Go on with the part that the replica lacks."""
+    def set_offset(self, offset: int) -> None:
+        """Continue the snapshot at the offset that the replica asked for."""
         if offset != self.offset:
             self.offset = min(offset, len(self.snapshot.data))
-            self._part_rounds = 0
-            self.is_waiting = False
+            self._unanswered_rounds = 0
+            self.is_awaiting_reply = False
 
-    def count_part_round(self, newest: Snapshot) -> None:
-        """Count a round without an answer to a part.
+    def count_unanswered_round(self, newest: Snapshot) -> None:
+        """Count a heartbeat round without a reply to the last part of a snapshot.
 
-        The part is sent again after some rounds. After many, an older snapshot
-        is given up for the newest, so that a lost replica holds no memory.
+        The part is sent again every `PART_RESEND_ROUNDS` rounds. After
+        `SNAPSHOT_RESTART_ROUNDS` rounds, the newest snapshot replaces an older one, so
+        that an unreachable replica does not keep the older one in memory.
         """
-        self._part_rounds += 1
-        if self._part_rounds % PART_ROUNDS == 0:
-            self.is_waiting = False
-        if self._part_rounds >= MAX_PART_ROUNDS and self.snapshot is not newest:
+        self._unanswered_rounds += 1
+        if self._unanswered_rounds % PART_RESEND_ROUNDS == 0:
+            self.is_awaiting_reply = False
+        if (
+            self._unanswered_rounds >= SNAPSHOT_RESTART_ROUNDS
+            and self.snapshot is not newest
+        ):
             self.start_snapshot(newest)
 
     def start_snapshot(self, snapshot: Snapshot) -> None:
-        """Begin to send a snapshot."""
+        """Start to send a snapshot from its first byte."""
         self.snapshot = snapshot
         self.offset = 0
-        self._part_rounds = 0
-        self.is_waiting = False
+        self._unanswered_rounds = 0
+        self.is_awaiting_reply = False
 
     def finish_snapshot(self, index: int) -> None:
-        """Go on with the entries after a snapshot."""
+        """Continue with the entries after a snapshot that the replica has installed."""
         self.snapshot = None
         self.match = max(self.match, index)
         self.next_index = self.match + 1
@@ -141,10 +148,14 @@
 def majority_value(
     members: Members, identity: str, own: float, others: Mapping[str, float]
 ) -> float:
-    """Return the highest value that a majority of the voters reaches."""
+    """Return the highest value that a majority of the voters has reached.
+
+    ``own`` is the value of this replica, ``identity``; ``others`` holds the values of
+    other replicas by id. A voter without a value counts as `NEVER`.
+    """
     values = [
         own if replica == identity else others.get(replica, NEVER)
         for replica in voters(members)
     ]
-    needed = quorum(members)
-    return sorted(values, reverse=True)[needed - 1] if values else NEVER
+    majority = quorum_size(members)
+    return sorted(values, reverse=True)[majority - 1] if values else NEVER
--- a/berylnotch/consensus/replica.py
+++ b/berylnotch/consensus/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the log as a pure state machine."""
+"""Replica of the log as a state machine that does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from berylnotch.consensus.core import Core
 from berylnotch.consensus.errors import MembershipError, NotLeaderError
 from berylnotch.consensus.members import voters
-from berylnotch.consensus.roles import Roles
+from berylnotch.consensus.roles import RoleTransitions
 from berylnotch.consensus.state import Ready, Recovered, Snapshot
 from berylnotch.errors import ConsensusError
 
@@ -21,20 +21,21 @@
 
 
 class Replica:
-    """A replica that elects, replicates and commits by majority.
+    """Replica that elects leaders, replicates entries and commits them by majority.
 
-    It owns no clock, socket, thread or file. After each `step`, `tick` or
-    proposal the shell takes `ready`, saves, sends, applies, and calls
-    `advance`. Any ``now`` must be read after the message was received.
+    It has no clock, socket, thread or file of its own. After each `step`, `tick` or
+    proposal, the embedding program calls `ready`, saves, sends and applies what it
+    returns, and then calls `advance`. Each ``now`` must be read after the message
+    concerned was received.
 
     Parameters
     ----------
     settings : ConsensusSettings
-        Timing and sizes.
+        Timing and size limits.
     recovered : Recovered
-        What the data folder held.
+        Contents of the data folder at start.
     rng : random.Random
-        Source of the election timeouts.
+        Source of the randomised election timeouts.
     now : float
         Monotonic seconds.
     """
@@ -47,9 +48,9 @@
         now: float,
     ) -> None:
         self._core = Core(settings, recovered, rng, now)
-        self._roles = Roles(self._core)
-        self._taken: Ready | None = None
-        #: Payload bytes applied since the last snapshot.
+        self._roles = RoleTransitions(self._core)
+        self._pending_ready: Ready | None = None
+        #: Payload bytes of the entries applied since the last snapshot.
         self._applied_bytes = 0
 
     @property
@@ -63,15 +64,15 @@
 
     @property
     def recovered(self) -> Recovered:
-        """What a restart would find once all work is saved."""
+        """State that a restart would recover once all pending work is saved."""
         core = self._core
         first, last = core.log.base_index + 1, core.log.last_index
-        entries = core.log.between(first, last)
+        entries = core.log.entries_between(first, last)
         return Recovered(core.identity, core.hard_state, core.log.snapshot, entries)
 
     @property
     def term(self) -> int:
-        """Newest term seen."""
+        """Highest term seen."""
         return self._core.term
 
     @property
@@ -87,18 +88,18 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads; to act, `has_lease` must hold as well."""
+        """Whether this replica is the leader; acting as leader also needs a lease."""
         return self._leader is not None
 
     @property
     def commit(self) -> int:
         """Index of the last entry known to be committed."""
-        return self._core.commit
+        return self._core.commit_index
 
     @property
     def applied(self) -> int:
         """Index of the last entry that `advance` reported as applied."""
-        return self._core.applied
+        return self._core.applied_index
 
     @property
     def members(self) -> Members:
@@ -107,7 +108,7 @@
 
     @property
     def members_index(self) -> int:
-        """Index of the entry that holds `members`; in force for good if committed."""
+        """Index of the entry that holds `members`, which is final once committed."""
         return self._core.log.members_index
 
     @property
@@ -117,55 +118,56 @@
 
     @property
     def progress(self) -> dict[str, Progress]:
-        """On the leader, what is known of each other member, by replica id."""
+        """Replication progress of each other member by id; empty on non-leaders."""
         return self._leader.progress if self._leader else {}
 
     @property
     def is_snapshot_due(self) -> bool:
-        """Whether enough was applied since the last snapshot."""
+        """Whether enough entries or bytes were applied since the last snapshot."""
         core = self._core
-        start = core.log.snapshot.last_index if core.log.snapshot else 0
-        if core.applied - start >= core.settings.snapshot_every_entries:
+        snapshot_index = core.log.snapshot.last_index if core.log.snapshot else 0
+        if core.applied_index - snapshot_index >= core.settings.snapshot_every_entries:
             return True
         return self._applied_bytes >= core.settings.snapshot_every_bytes
 
     def has_lease(self, now: float) -> bool:
         """Whether this replica may act as the only leader at ``now``.
 
-        It must be asked with a fresh clock after every blocking step. It is
-        false until the leader committed an entry of its own term.
+        It must be called again, with a newly read clock, after every blocking
+        operation. It is false until the leader has committed an entry of its own term.
         """
         return self._leader is not None and self._leader.has_lease(now)
 
     def lease_age_s(self, now: float) -> float:
-        """Return seconds since the newest round was sent that a majority answered.
+        """Return the age in seconds of the newest round that a majority answered.
 
-        Infinite on a replica that does not lead.
+        The age counts from when the round was sent. It is infinite on a replica that
+        is not the leader.
         """
         if self._leader is None:
             return float("inf")
-        return now - self._leader.majority_sent_at(now)
+        return now - self._leader.lease_started_at(now)
 
     def tick(self, now: float) -> None:
-        """Start what is due: a heartbeat round or an election."""
+        """Start a heartbeat round or an election if one is due."""
         self._roles.tick(now)
 
     def step(self, now: float, message: Any) -> None:
-        """Take a message of another replica; one for someone else is dropped."""
+        """Process a message from another replica; drop it if it is not for this one."""
         self._roles.step(now, message)
 
     def propose(self, now: float, payload: bytes) -> int:
         """Append a command and return its index.
 
-        It took effect only if an entry with this index and the present term
-        comes back as committed.
+        The command takes effect only if an entry with this index and the current term
+        is later returned as committed.
 
         Raises
         ------
         NotLeaderError
-            If this replica does not lead.
+            If this replica is not the leader.
         OverloadedError
-            If too many proposals wait for a majority.
+            If too many proposals are not yet committed.
         PayloadError
             If the payload is too large.
         """
@@ -177,9 +179,9 @@
         Raises
         ------
         NotLeaderError
-            If this replica does not lead.
+            If this replica is not the leader.
         MembershipError
-            If the change is not allowed, or not yet.
+            If the change is invalid, or is not allowed at this time.
         """
         leader = self._require_leader(now)
         promoted = voters(members) - voters(self.members)
@@ -189,89 +191,90 @@
         return leader.propose_members(members)
 
     def is_caught_up(self, now: float, replica: str) -> bool:
-        """Whether a member lags by one append request at most, and answers."""
+        """Whether a member answers and lags by at most one append request."""
         progress = self.progress.get(replica)
         if progress is None or not progress.match:
             return False
-        # A voter that does not answer would cost the leader its lease.
-        if now - progress.acked_at >= self._core.settings.lease_s:
+        # Promoting a learner that does not answer enlarges the quorum by a silent
+        # voter, so the leader could lose its lease.
+        if now - progress.acked_round_sent_at >= self._core.settings.lease_s:
             return False
-        lag = self._core.commit - progress.match
+        lag = self._core.commit_index - progress.match
         return lag <= self._core.settings.max_append_entries
 
     def transfer(self, now: float) -> bool:
-        """Hand leadership to the replica that follows most closely.
+        """Transfer leadership to the voter with the highest match index.
 
-        This replica stops leading at once, so its lease ends before the other
+        This replica steps down at once, so its lease ends before the other replica
         stands for election.
 
         Returns
         -------
         bool
-            Whether there was one.
+            Whether there was such a voter.
         """
         self._require_leader(now)
-        return self._roles.transfer(now)
+        return self._roles.transfer_leadership(now)
 
     def ready(self) -> Ready:
-        """Return the work that is due; `advance` must follow.
+        """Return the pending work; `advance` must be called once it is done.
 
         Raises
         ------
         ConsensusError
-            If the previous work was not yet reported by `advance`.
+            If `advance` was not yet called for the previous work.
         """
-        if self._taken is not None:
+        if self._pending_ready is not None:
             raise ConsensusError("advance() was not called for the last ready()")
         core = self._core
         if self._leader is not None:
             self._leader.send_entries()
-        start = core.applied
-        if core.installed is not None:
-            start = core.installed.last_index
-        self._taken = Ready(
+        applied_index = core.applied_index
+        if core.installed_snapshot is not None:
+            applied_index = core.installed_snapshot.last_index
+        self._pending_ready = Ready(
             hard_state=None if core.is_hard_state_saved else core.hard_state,
             truncate_from=core.log.truncated_from,
-            entries=core.log.unsaved(),
-            snapshot=core.installed,
+            entries=core.log.unsaved_entries(),
+            snapshot=core.installed_snapshot,
             messages=core.take_outbox(),
-            committed=core.log.between(start + 1, core.commit),
+            committed=core.log.entries_between(applied_index + 1, core.commit_index),
         )
         core.is_hard_state_saved = True
-        core.installed = None
+        core.installed_snapshot = None
         core.log.clear_truncated()
-        return self._taken
+        return self._pending_ready
 
     def advance(self, ready: Ready) -> None:
-        """Note that everything in ``ready`` is saved, sent and applied."""
+        """Record that everything in ``ready`` is saved, sent and applied."""
         core = self._core
-        self._taken = None
+        self._pending_ready = None
         core.log.mark_saved(ready.entries)
         if ready.snapshot is not None:
-            core.applied = max(core.applied, ready.snapshot.last_index)
+            core.applied_index = max(core.applied_index, ready.snapshot.last_index)
             self._applied_bytes = 0
         if ready.committed:
-            core.applied = max(core.applied, ready.committed[-1].index)
-            self._applied_bytes += sum(len(e.payload) for e in ready.committed)
+            core.applied_index = max(core.applied_index, ready.committed[-1].index)
+            self._applied_bytes += sum(len(entry.payload) for entry in ready.committed)
         if ready.hard_state is not None and ready.hard_state == core.hard_state:
-            self._roles.own_vote_saved()
+            self._roles.on_vote_saved()
         if self._leader is not None:
             self._leader.update_commit()
-            self._roles.leave_if_removed()
+            self._roles.step_down_if_removed()
 
     def build_snapshot(self, data: bytes) -> Snapshot:
-        """Return a snapshot of the state after the entry `applied`."""
-        log, index = self._core.log, self._core.applied
+        """Return a snapshot with ``data``, the state after the entry at `applied`."""
+        log, index = self._core.log, self._core.applied_index
         return Snapshot(index, log.term_at(index) or 0, log.members_at(index), data)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Drop entries that a saved snapshot holds."""
-        if self._core.log.base_index < snapshot.last_index <= self._core.applied:
+        """Drop entries covered by a saved snapshot, except the newest of them."""
+        if self._core.log.base_index < snapshot.last_index <= self._core.applied_index:
             self._core.log.compact(snapshot, self._core.settings.keep_entries)
             self._applied_bytes = 0
 
     def _require_leader(self, now: float) -> Leader:
-        self._roles.check_lease(now)
+        self._roles.step_down_if_quorum_lost(now)
         if self._leader is None:
             raise NotLeaderError(self.leader_address)
         return self._leader
--- a/berylnotch/consensus/settings.py
+++ b/berylnotch/consensus/settings.py
@@ -9,42 +9,43 @@
 
 @frozen
 class ConsensusSettings:
-    """Timing and sizes of the replicated log.
+    """Timing and size limits of the replicated log.
 
     Parameters
     ----------
     heartbeat_s : float, default=0.1
         Seconds between the leader's heartbeat rounds.
     election_min_s, election_max_s : float, default=1.0, 1.6
-        Bounds in seconds of the randomised election timeout. A voter that
-        heard a leader within ``election_min_s`` refuses its vote to others.
+        Bounds in seconds of the randomised election timeout. A voter refuses its vote
+        if a leader contacted it within the last ``election_min_s``.
     resume_retry_s : float, default=0.1
-        Pause after which a replica that may have led before its restart asks again
-        whether it can resume, until an election is due anyway.
+        Seconds between the pre-votes of a replica that may have been the leader before
+        its restart and tries to resume, until its election timeout has passed.
     lease_s : float, default=0.8
-        Seconds that a leader may act after it sent a round which a majority
-        answered. The gap to ``election_min_s`` allows for clocks that differ
-        in rate.
+        Seconds for which a leader may act after it sent a heartbeat round that a
+        majority answered. The difference to ``election_min_s`` allows for clocks that
+        run at different rates.
     max_append_entries : int, default=512
-        Most entries in one append request.
+        Maximum number of entries in one append request.
     max_append_bytes : int, default=1048576
-        Most payload bytes in one append request, unless one entry has more.
+        Maximum payload bytes in one append request, unless a single entry has more.
     max_entry_bytes : int, default=4194304
-        Largest payload of one entry; a message must hold it.
+        Maximum payload bytes of one entry; the entry must fit into one message.
     max_inflight_entries : int, default=4096
-        Most entries sent to a replica ahead of its answers.
+        Maximum number of entries sent to a replica and not yet acknowledged.
     max_uncommitted_entries : int, default=8192
-        Most entries that wait for a majority before proposals are refused.
+        Number of uncommitted entries from which proposals are refused.
     max_uncommitted_bytes : int, default=16777216
-        Most payload bytes that wait likewise.
+        Payload bytes of uncommitted entries from which proposals are refused.
     snapshot_every_entries : int, default=10000
-        Applied entries after which a snapshot is due.
+        Number of applied entries after which a snapshot is due.
     snapshot_every_bytes : int, default=16777216
         Payload bytes of applied entries after which a snapshot is due.
     snapshot_part_bytes : int, default=262144
-        Bytes of a snapshot in one message.
+        Maximum snapshot bytes in one message.
     keep_entries : int, default=2000
-        Entries kept behind a snapshot for replicas that lag a little.
+        Number of entries kept before the end of a snapshot, so that replicas that lag
+        slightly do not need the snapshot.
     """
 
     heartbeat_s: float = 0.1
--- a/berylnotch/consensus/state.py
+++ b/berylnotch/consensus/state.py
@@ -1,4 +1,4 @@
-"""Values that pass between a replica, its storage and the shell."""
+"""Values exchanged between a replica, its storage and the embedding program."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 @frozen
 class HardState:
-    """Term and vote, which must be durable before a reply leaves.
+    """Term and vote, which must be durable before a reply is sent.
 
     Parameters
     ----------
     term : int
-        Newest term that the replica has seen.
+        Highest term that the replica has seen.
     voted_for : str
-        Replica that got the vote in this term, or empty.
+        Replica id that got the vote in this term, or empty.
     followed : str
-        Leader of this term whose entries or heartbeats were answered, or empty.
+        Replica id of the leader whose entries or heartbeats this replica answered in
+        this term, or empty.
     """
 
     term: int = 0
@@ -28,13 +29,13 @@
     followed: str = ""
 
     def supports(self, replica: str) -> bool:
-        """Whether no other replica got the vote, or was followed, in this term."""
+        """Whether ``replica`` is the followed leader or, without one, got the vote."""
         return (self.followed or self.voted_for) == replica
 
 
 @frozen
 class Snapshot:
-    """State after the entry ``last_index``, which replaces the log up to it."""
+    """State after the entry at ``last_index``; it replaces the log up to that entry."""
 
     last_index: int
     last_term: int
@@ -44,7 +45,7 @@
 
 @frozen
 class Recovered:
-    """What a data folder held at start."""
+    """Contents of a data folder at start."""
 
     identity: str
     hard_state: HardState = HardState()
@@ -54,7 +55,7 @@
 
 @frozen
 class Outgoing:
-    """A message for another replica."""
+    """A message to another replica and the address to send it to."""
 
     replica: str
     address: str
@@ -63,20 +64,20 @@
 
 @frozen
 class Ready:
-    """Work for the shell: save, then send, then apply, then `advance`.
+    """Work for the embedding program: save, send and apply, then call `advance`.
 
     Parameters
     ----------
     hard_state : HardState or None
-        New term or vote to save.
+        New hard state to save, or None if it is unchanged.
     truncate_from : int or None
-        Index from which saved entries are void.
+        First index of saved entries that are void, or None.
     entries : tuple of Entry
         Entries to save.
     snapshot : Snapshot or None
-        Snapshot from the leader; it replaces the whole log and the state.
+        Snapshot from the leader; it replaces the whole log and the applied state.
     messages : tuple of Outgoing
-        Messages to send once all above is durable.
+        Messages to send once everything above is durable.
     committed : tuple of Entry
         Entries to apply, in order.
     """
@@ -90,10 +91,10 @@
 
     @property
     def must_save(self) -> bool:
-        """Whether something has to be durable before messages leave."""
+        """Whether something must become durable before messages are sent."""
         return bool(self.hard_state or self.entries or self.snapshot)
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether there is no work."""
         return not (self.must_save or self.messages or self.committed)
--- a/berylnotch/consensus/storage.py
+++ b/berylnotch/consensus/storage.py
@@ -1,4 +1,4 @@
-"""Durable log, term, vote and snapshot in a data folder."""
+"""Durable storage of log, term, vote and snapshot in a data folder."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 
 T = TypeVar("T")
 
-#: Bytes after which a new log segment begins.
+#: Size in bytes from which a new log segment is started.
 SEGMENT_BYTES = 8 * 1024 * 1024
 
 _SEGMENT_NAME = "log-{:010d}"
 
 
 class LogStorage:
-    """Storage of one replica.
+    """Durable storage of one replica.
 
-    The log is a row of numbered segments. A snapshot removes the segments that
-    it makes needless, so the folder stays bounded.
+    The log is a sequence of numbered segments. Each snapshot removes the segments that
+    are no longer needed, so the size of the folder stays bounded.
 
     Parameters
     ----------
     folder : str or Path
-        Data folder; it is made if it is missing.
+        Data folder; it is created if it does not exist.
     name : str, default="replica"
-        First part of the id that a new folder gets.
+        First part of the random replica id of a new folder.
     keep_entries : int, default=2000
-        Entries to keep behind a snapshot.
+        Number of entries to keep before the end of a snapshot.
     first_identity : str, default=""
-        Replica id that a new folder gets instead of a random one. Only a member
-        that founds a group may name it, since no earlier folder can have had it.
+        Replica id of a new folder, instead of a random one. Only a founding member of
+        a group may set it, because no earlier folder can have had that id.
     checks_copy : bool, default=True
-        Whether a folder whose files have other inode numbers than it was made with
-        is refused as a copy. Platforms that bring a disk back under new numbers
-        need it off; they must never bring back an older state of a disk.
+        Whether to refuse a folder as a copy if its inode numbers differ from those at
+        its creation. It must be off on platforms that reattach a disk with new inode
+        numbers; such platforms must never restore an older state of a disk.
     """
 
     def __init__(
@@ -67,13 +67,13 @@
         self._lock_file: IO[bytes] | None = None
         self._file: IO[bytes] | None = None
         self._mutex = threading.Lock()
-        #: Held while the snapshot's file is replaced.
+        #: Held while the snapshot file is replaced.
         self._snapshot_mutex = threading.Lock()
         self._snapshot_index = 0
         self._hard_state = HardState()
-        #: Highest entry index in each segment, by its number.
-        self._segments: dict[int, int] = {}
-        self._is_failed = False
+        #: Highest entry index in each segment, by segment number.
+        self._highest_index_by_segment: dict[int, int] = {}
+        self._has_failed = False
 
     @property
     def folder(self) -> Path:
@@ -81,16 +81,16 @@
         return self._folder
 
     def start(self) -> Recovered:
-        """Lock the folder and read what it holds.
+        """Lock the folder and read its contents.
 
         Raises
         ------
         DamagedFileError
-            If a file is damaged, other than a last save cut off by a crash.
+            If a file is damaged, except for a last save that a crash cut off.
         CopiedFolderError
-            If the folder is a copy.
+            If the folder was copied or restored.
         StorageError
-            If it cannot be read or is in use.
+            If the folder cannot be read or is in use by another process.
         """
         try:
             return self._start()
@@ -107,19 +107,24 @@
         Raises
         ------
         StorageError
-            If writing fails; the storage then refuses everything, since it is
-            unknown what is durable.
+            If writing fails. The storage then refuses all further saves, because it
+            is unknown what is durable.
         """
         if not ready.must_save:
             return
         with self._mutex:
-            self._guarded(self._save, ready)
+            self._run_guarded(self._save, ready)
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Make a snapshot of the own state durable, then drop what it holds.
+        """Save a snapshot of this replica's state, then remove segments it covers.
 
-        It may run on another thread than `save`. A snapshot that is older than
-        one from the leader, installed meanwhile, is left out.
+        It may run in another thread than `save`. The snapshot is ignored if a newer one
+        from the leader was installed in the meantime.
+
+        Raises
+        ------
+        StorageError
+            If writing fails.
         """
         try:
             with self._snapshot_mutex:
@@ -130,10 +135,10 @@
         except OSError as error:
             raise StorageError(f"{self._folder}: {error}") from error
         with self._mutex:
-            self._guarded(self._drop_segments, snapshot)
+            self._run_guarded(self._remove_compacted_segments, snapshot)
 
     def close(self) -> None:
-        """Close the files and unlock the folder."""
+        """Close the open files and unlock the folder."""
         for file in (self._file, self._lock_file):
             if file is not None:
                 file.close()
@@ -142,28 +147,29 @@
 
     def _start(self) -> Recovered:
         self._folder.mkdir(parents=True, exist_ok=True)
-        self._lock_file = data_folder.lock(self._folder)
-        data_folder.remove_temporary(self._folder)
+        self._lock_file = data_folder.lock_folder(self._folder)
+        data_folder.remove_temporary_files(self._folder)
         identity = data_folder.read_identity(self._folder, self._checks_copy)
         if identity is None:
             return self._start_empty()
         snapshot = read_snapshot(self._folder)
         self._snapshot_index = snapshot.last_index if snapshot else 0
         entries = self._read_log()
-        fitting = _fit(self._folder, snapshot, entries)
-        if fitting != entries:
-            self._start_over()
-        return Recovered(identity, self._hard_state, snapshot, tuple(fitting))
+        valid_entries = _drop_stale_log(self._folder, snapshot, entries)
+        if valid_entries != entries:
+            self._replace_log()
+        return Recovered(identity, self._hard_state, snapshot, tuple(valid_entries))
 
     def _start_empty(self) -> Recovered:
-        # A crash of the very first start may have left an empty segment.
+        # A crash during the first start, before the identity was written, may have left
+        # an empty segment.
         has_log = bool(self._segment_numbers()) and bool(self._read_log())
         if has_log or self._hard_state.term or read_snapshot(self._folder):
             raise StorageError(
                 f"{self._folder} holds a log but no {data_folder.IDENTITY_FILE} file"
             )
         self._open_segment(1)
-        identity = data_folder.make_identity(
+        identity = data_folder.create_identity(
             self._folder, self._name, self._first_identity
         )
         return Recovered(identity)
@@ -187,26 +193,28 @@
         path = self._segment_path(number)
         data = path.read_bytes()
         segment = records.read_segment(str(path), data, is_last)
-        self._segments[number] = 0
+        self._highest_index_by_segment[number] = 0
         for record in segment.records:
             if record.type is RecordType.HARD_STATE:
                 self._hard_state = records.unpack_hard_state(record)
             elif record.type is RecordType.ENTRY:
                 entry = records.unpack_entry(record)
-                _place(path, record.offset, entries, entry)
-                self._note(number, entry.index)
+                _append_recovered(path, record.offset, entries, entry)
+                self._record_index(number, entry.index)
         if is_last:
-            self._reopen(path, segment.size, len(data))
+            self._open_for_append(path, segment.size, len(data))
 
-    def _reopen(self, path: Path, size: int, full_size: int) -> None:
+    def _open_for_append(self, path: Path, valid_size: int, file_size: int) -> None:
         self._file = open(path, "r+b")
-        self._file.seek(size)
-        if size < full_size:
+        self._file.seek(valid_size)
+        if valid_size < file_size:
             self._file.truncate()
             os.fsync(self._file.fileno())
 
-    def _note(self, number: int, index: int) -> None:
-        self._segments[number] = max(self._segments[number], index)
+    def _record_index(self, number: int, index: int) -> None:
+        self._highest_index_by_segment[number] = max(
+            self._highest_index_by_segment[number], index
+        )
 
     def _save(self, ready: Ready) -> None:
         if ready.hard_state is not None:
@@ -215,77 +223,95 @@
             with self._snapshot_mutex:
                 write_snapshot(self._folder, ready.snapshot)
                 self._snapshot_index = ready.snapshot.last_index
-            self._start_over()
+            self._replace_log()
         elif self._file.tell() >= SEGMENT_BYTES:
-            self._open_segment(max(self._segments) + 1)
-        parts = [records.pack(RecordType.SAVE)]
+            self._open_segment(max(self._highest_index_by_segment) + 1)
+        packed_records = [records.pack_record(RecordType.SAVE)]
         if ready.hard_state is not None:
-            parts.append(records.pack_hard_state(ready.hard_state))
-        parts.extend(records.pack_entry(entry) for entry in ready.entries)
-        self._file.write(b"".join(parts))
+            packed_records.append(records.pack_hard_state(ready.hard_state))
+        packed_records.extend(records.pack_entry(entry) for entry in ready.entries)
+        self._file.write(b"".join(packed_records))
         self._file.flush()
         os.fsync(self._file.fileno())
         if ready.entries:
-            self._note(max(self._segments), ready.entries[-1].index)
+            self._record_index(
+                max(self._highest_index_by_segment), ready.entries[-1].index
+            )
 
-    def _guarded(self, action: Callable[[T], None], argument: T) -> None:
-        if self._is_failed or self._file is None:
-            raise StorageError(f"{self._folder}: storage is closed or has failed")
+    def _run_guarded(self, action: Callable[[T], None], argument: T) -> None:
+        if self._has_failed or self._file is None:
+            raise StorageError(
+                f"{self._folder}: storage is closed or an earlier write failed; "
+                "nothing is saved"
+            )
         try:
             action(argument)
         except OSError as error:
-            self._is_failed = True
+            self._has_failed = True
             raise StorageError(f"{self._folder}: {error}") from error
 
     def _open_segment(self, number: int) -> None:
-        # The segment appears under its name with the term and vote in it, so
-        # the segments before it may be removed at any time after.
+        # The file is renamed into place with the term and the vote already in it, so
+        # the earlier segments can be removed at any later time.
         path = self._segment_path(number)
-        first = records.pack(RecordType.SAVE)
-        state = records.pack_hard_state(self._hard_state)
-        data_folder.write_durably(path, records.SEGMENT_HEADER, first, state)
+        save_record = records.pack_record(RecordType.SAVE)
+        state_record = records.pack_hard_state(self._hard_state)
+        data_folder.replace_file_atomically(
+            path, records.SEGMENT_HEADER, save_record, state_record
+        )
         if self._file is not None:
             self._file.close()
         self._file = open(path, "r+b")
         self._file.seek(0, os.SEEK_END)
-        self._segments[number] = 0
+        self._highest_index_by_segment[number] = 0
 
-    def _drop_segments(self, snapshot: Snapshot) -> None:
-        self._open_segment(max(self._segments) + 1)
-        limit = snapshot.last_index - self._keep_entries
-        for number in sorted(self._segments)[:-1]:
-            if self._segments[number] > limit:
+    def _remove_compacted_segments(self, snapshot: Snapshot) -> None:
+        self._open_segment(max(self._highest_index_by_segment) + 1)
+        last_removable = snapshot.last_index - self._keep_entries
+        for number in sorted(self._highest_index_by_segment)[:-1]:
+            if self._highest_index_by_segment[number] > last_removable:
                 break
             self._remove_segment(number)
 
-    def _start_over(self) -> None:
-        # Only for a log that a snapshot from the leader replaces.
-        self._open_segment(max(self._segments) + 1)
-        for number in sorted(self._segments)[:-1]:
+    def _replace_log(self) -> None:
+        # Only for a log that is replaced by a snapshot from the leader: all earlier
+        # segments are removed, including entries that the snapshot does not cover.
+        self._open_segment(max(self._highest_index_by_segment) + 1)
+        for number in sorted(self._highest_index_by_segment)[:-1]:
             self._remove_segment(number)
 
     def _remove_segment(self, number: int) -> None:
         self._segment_path(number).unlink()
         data_folder.sync_folder(self._folder)
-        del self._segments[number]
+        del self._highest_index_by_segment[number]
 
 
-def _place(path: Path, offset: int, entries: list[Entry], entry: Entry) -> None:
-    """Append an entry; it voids those from its index on."""
+def _append_recovered(
+    path: Path, offset: int, entries: list[Entry], entry: Entry
+) -> None:
+    """Append an entry read from a segment; it replaces entries from its index on."""
     if entries:
-        keep = entry.index - entries[0].index
-        if keep < 0 or keep > len(entries):
+        kept_count = entry.index - entries[0].index
+        if kept_count < 0 or kept_count > len(entries):
             reason = f"entry {entry.index} does not follow {entries[-1].index}"
             raise DamagedFileError(str(path), offset, reason)
-        del entries[keep:]
+        del entries[kept_count:]
     entries.append(entry)
 
 
-def _fit(folder: Path, snapshot: Snapshot | None, entries: list[Entry]) -> list[Entry]:
-    """Return the entries that go with the snapshot.
+def _drop_stale_log(
+    folder: Path, snapshot: Snapshot | None, entries: list[Entry]
+) -> list[Entry]:
+    """Return the entries, or none if the log is older than the snapshot.
+
+    After a crash between saving a snapshot from the leader and removing the old log,
+    the log ends before the snapshot or has another term at its last index. Such a log
+    is void.
 
-    After a crash between a snapshot from the leader and the removal of the old
-    log, the log ends before the snapshot or differs from it, and is void.
+    Raises
+    ------
+    StorageError
+        If the snapshot or entries between the snapshot and the log are missing.
     """
     if snapshot is None:
         if entries and entries[0].index != 1:
--- a/tests/test_consensus/group.py
+++ b/tests/test_consensus/group.py
@@ -1,4 +1,4 @@
-"""Replicas joined by a list of messages, with a clock that the test moves."""
+"""Replicas that exchange messages through a list, on a clock set by the test."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class MemoryDisk:
-    """What a crash leaves: only what `save` got."""
+    """In-memory storage that holds exactly what was saved, as after a crash."""
 
     def __init__(self, recovered):
         self.recovered = recovered
@@ -46,14 +46,14 @@
             state = attrs.evolve(state, entries=kept + ready.entries)
         self.recovered = state
 
-    def save_snapshot(self, snapshot, keep):
-        first = snapshot.last_index - keep
+    def save_snapshot(self, snapshot, keep_entries):
+        first = snapshot.last_index - keep_entries
         kept = tuple(e for e in self.recovered.entries if e.index >= first)
         self.recovered = attrs.evolve(self.recovered, snapshot=snapshot, entries=kept)
 
 
 class Node:
-    """A replica with its disk and the commands it applied."""
+    """Replica with its disk and the commands that it has applied."""
 
     def __init__(self, disk, now, settings=SETTINGS, seed=0):
         self.disk = disk
@@ -72,8 +72,8 @@
     def restore(self, snapshot):
         self.applied = snapshot.data.split(b",") if snapshot.data else []
 
-    def run(self):
-        """Do all work that is due; return the messages."""
+    def process_ready(self):
+        """Do all pending work and return the messages to send."""
         messages = []
         while not (ready := self.replica.ready()).is_empty:
             self.disk.save(ready)
@@ -95,59 +95,61 @@
 
 
 class Group:
-    """Nodes that reach each other unless they are cut off or down."""
+    """Nodes that exchange messages, except for those in `isolated`."""
 
     def __init__(self, *identities, settings=SETTINGS):
         self.now = 100.0
         self.settings = settings
         self.nodes = {}
-        self.cut = set()
-        self.pending = []
+        self.isolated = set()
+        self.undelivered = []
         members = members_of(*identities)
         for identity in identities:
-            self.add(identity, bootstrap(Recovered(identity), members))
+            self.add_node(identity, bootstrap(Recovered(identity), members))
 
     def __getitem__(self, identity):
         return self.nodes[identity].replica
 
     @property
     def leaders(self):
-        return [i for i in self.running if self[i].has_lease(self.now)]
+        return [i for i in self.reachable if self[i].has_lease(self.now)]
 
     @property
-    def running(self):
-        return [i for i in self.nodes if i not in self.cut]
+    def reachable(self):
+        return [i for i in self.nodes if i not in self.isolated]
 
-    def add(self, identity, recovered=None):
+    def add_node(self, identity, recovered=None):
         disk = MemoryDisk(recovered or Recovered(identity))
         self.nodes[identity] = Node(disk, self.now, self.settings)
 
     def deliver(self):
-        """Exchange messages until none is left."""
-        self.collect()
-        while self.pending:
-            self.step(self.pending.pop(0))
-            self.collect()
-
-    def collect(self):
-        for identity in self.running:
-            self.pending += [(identity, m) for m in self.nodes[identity].run()]
-
-    def step(self, item):
+        """Deliver messages until none is left."""
+        self.collect_messages()
+        while self.undelivered:
+            self.deliver_message(self.undelivered.pop(0))
+            self.collect_messages()
+
+    def collect_messages(self):
+        for identity in self.reachable:
+            self.undelivered += [
+                (identity, m) for m in self.nodes[identity].process_ready()
+            ]
+
+    def deliver_message(self, item):
         sender, outgoing = item
-        if sender not in self.cut and outgoing.replica in self.running:
+        if sender not in self.isolated and outgoing.replica in self.reachable:
             self[outgoing.replica].step(self.now, outgoing.message)
 
     def advance(self, seconds, tick=0.05):
         end = self.now + seconds
         while self.now < end:
             self.now += tick
-            for identity in self.running:
+            for identity in self.reachable:
                 self[identity].tick(self.now)
             self.deliver()
 
     def elect(self):
-        """Advance until one leader has its lease; return its id."""
+        """Advance the clock until one leader has a lease; return its replica id."""
         for _ in range(400):
             self.advance(0.05)
             if self.leaders:
--- a/tests/test_consensus/test_election.py
+++ b/tests/test_consensus/test_election.py
@@ -40,19 +40,20 @@
     return bootstrap(Recovered("a/1"), members_of(*IDS))
 
 
-def others(identity):
+def other_ids(identity):
     return [i for i in IDS if i != identity]
 
 
-def ask(node, now, candidate, term, pre=False):
-    """Return the only answer to a vote request with a long log."""
+def request_vote(node, now, candidate, term, pre=False):
+    """Return the only reply to a vote request from a candidate with a long log."""
     request = VoteRequest(term, candidate, 99, 99, pre, replica="a/1")
     node.replica.step(now, request)
-    (outgoing,) = node.run()
+    (outgoing,) = node.process_ready()
     return outgoing.message
 
 
-def test_vote_is_durable_before_its_reply(state):
+def test_vote_is_saved_before_its_reply_is_sent(state):
+    """A voter that restarts after its reply must not vote for another candidate."""
     node = Node(MemoryDisk(state), 0.0)
     node.replica.step(5.0, VoteRequest(7, "b/1", 9, 6, replica="a/1"))
     ready = node.replica.ready()
@@ -60,8 +61,8 @@
     assert ready.hard_state == HardState(7, "b/1")
     node.disk.save(ready)
     node.start(6.0)
-    assert not ask(node, 9.0, "c/1", 7).granted
-    assert ask(node, 9.0, "b/1", 7).granted
+    assert not request_vote(node, 9.0, "c/1", 7).granted
+    assert request_vote(node, 9.0, "b/1", 7).granted
 
 
 def test_candidate_counts_own_vote_only_once_saved():
@@ -77,7 +78,7 @@
     assert replica.is_leader
 
 
-def test_own_entry_counts_only_once_saved():
+def test_leader_counts_own_entry_only_once_saved():
     replica = Replica(
         SETTINGS,
         bootstrap(Recovered("a/1"), members_of("a/1")),
@@ -92,40 +93,43 @@
     assert replica.commit == 2
 
 
-def test_voter_refuses_after_restart_until_no_lease_can_rest_on_it(state):
+def test_restarted_voter_refuses_until_leases_it_renewed_have_ended(state):
+    """A leader may still hold a lease that the voter renewed before its restart."""
     node = Node(MemoryDisk(state), 10.0)
-    assert not ask(node, 10.9, "b/1", 7).granted
-    assert not ask(node, 10.9, "b/1", 7, pre=True).granted
+    assert not request_vote(node, 10.9, "b/1", 7).granted
+    assert not request_vote(node, 10.9, "b/1", 7, pre=True).granted
     assert node.replica.term == 1
-    assert ask(node, 11.1, "b/1", 7).granted
+    assert request_vote(node, 11.1, "b/1", 7).granted
 
 
-def test_voter_refuses_shorter_log(state):
+def test_voter_refuses_candidate_with_older_log(state):
     node = Node(MemoryDisk(state), 0.0)
     node.replica.step(5.0, VoteRequest(7, "b/1", 9, 0, replica="a/1"))
-    (outgoing,) = node.run()
+    (outgoing,) = node.process_ready()
     assert outgoing.message == VoteReply(7, "a/1", False)
 
 
-def test_lease_runs_from_sending_time(group):
+def test_lease_counts_from_when_the_round_was_sent(group):
+    """A lease counted from the arrival of late replies would last too long."""
     leader = group.elect()
     group.advance(0.5)
     sent_at = group.now = group.now + 0.11
     group[leader].tick(sent_at)
-    group.collect()
-    sent, group.pending = group.pending, []
+    group.collect_messages()
+    sent, group.undelivered = group.undelivered, []
     group.now = sent_at + 0.4
     for item in sent:
-        group.step(item)
-    group.collect()
-    for item in group.pending:
-        group.step(item)
+        group.deliver_message(item)
+    group.collect_messages()
+    for item in group.undelivered:
+        group.deliver_message(item)
     assert group[leader].lease_age_s(group.now) == pytest.approx(0.4)
     assert group[leader].has_lease(sent_at + 0.79)
     assert not group[leader].has_lease(sent_at + 0.81)
 
 
-def test_resumed_leader_has_no_lease_before_any_timer_ran(group):
+def test_paused_leader_has_no_lease_before_its_first_tick(group):
+    """After a pause, a leader must not act on a lease that ended in the meantime."""
     leader = group.elect()
     group.advance(0.5)
     assert group[leader].has_lease(group.now)
@@ -135,19 +139,19 @@
     assert not group[leader].is_leader
 
 
-def test_leader_that_hears_no_majority_steps_down(group):
+def test_leader_without_majority_steps_down(group):
     leader = group.elect()
-    group.cut.update(others(leader))
+    group.isolated.update(other_ids(leader))
     group.advance(1.0)
     assert not group[leader].is_leader
 
 
-def test_no_lease_before_an_entry_of_the_own_term_is_committed(group):
+def test_no_lease_before_an_entry_of_its_term_is_committed(group):
     leader = group.elect()
-    group.cut.add(leader)
+    group.isolated.add(leader)
     for _ in range(100):
         group.advance(0.05)
-        for identity in others(leader):
+        for identity in other_ids(leader):
             replica = group[identity]
             if replica.has_lease(group.now):
                 assert replica.commit == replica.last_index
@@ -155,18 +159,20 @@
     raise AssertionError("no leader")
 
 
-def test_returning_replica_does_not_unseat_the_leader(group):
+def test_reconnected_replica_does_not_disrupt_the_leader(group):
+    """Without pre-votes, an isolated replica returns with a higher term."""
     leader = group.elect()
     term = group[leader].term
-    group.cut.add(others(leader)[0])
+    group.isolated.add(other_ids(leader)[0])
     group.advance(10)
-    group.cut.clear()
+    group.isolated.clear()
     group.advance(5)
     assert group.leaders == [leader]
     assert group[leader].term == term
 
 
-def test_old_entries_commit_only_with_one_of_the_own_term():
+def test_entries_of_older_terms_commit_only_with_one_of_the_current_term():
+    """A later leader can still overwrite an older entry held by a majority."""
     old = (
         *bootstrap(Recovered("a/1"), members_of(*IDS)).entries,
         Entry(2, 2, EntryKind.COMMAND, b"old"),
@@ -174,11 +180,11 @@
     node = Node(MemoryDisk(Recovered("a/1", HardState(3), None, old)), 0.0)
     replica = node.replica
     replica.tick(5.0)
-    node.run()
+    node.process_ready()
     replica.step(5.0, VoteReply(4, "b/1", True, pre=True))
-    node.run()
+    node.process_ready()
     replica.step(5.0, VoteReply(4, "b/1", True))
-    node.run()
+    node.process_ready()
     assert replica.is_leader
     replica.step(5.1, AppendReply(4, "b/1", True, 2, 1))
     assert replica.commit == 0
@@ -186,7 +192,7 @@
     assert replica.commit == 3
 
 
-def test_transfer_hands_over_at_once(group):
+def test_transfer_elects_another_leader_at_once(group):
     leader = group.elect()
     group.propose(leader, b"x")
     assert group[leader].transfer(group.now)
@@ -196,31 +202,32 @@
     assert new != leader
 
 
-def test_wiped_disk_does_not_vote_as_before(group):
+def test_wiped_replica_does_not_vote_under_its_old_id(group):
+    """A wiped replica has lost its earlier vote and could vote twice in a term."""
     leader = group.elect()
-    first, second = others(leader)
-    group.cut.add(leader)
+    first, second = other_ids(leader)
+    group.isolated.add(leader)
     del group.nodes[first]
-    group.add("wiped/1")
+    group.add_node("wiped/1")
     request = VoteRequest(9, second, 99, 99, replica=first)
     group["wiped/1"].step(group.now + 5, request)
-    assert group.nodes["wiped/1"].run() == []
+    assert group.nodes["wiped/1"].process_ready() == []
     group.advance(10)
     assert not group[second].is_leader
 
 
-def test_proposals_are_bounded():
+def test_uncommitted_proposals_are_bounded():
     settings = ConsensusSettings(max_uncommitted_entries=3)
     group = Group(*IDS, settings=settings)
     leader = group.elect()
-    group.cut.update(others(leader))
+    group.isolated.update(other_ids(leader))
     for _ in range(3):
         group[leader].propose(group.now, b"x")
     with pytest.raises(OverloadedError):
         group[leader].propose(group.now, b"x")
 
 
-def test_a_payload_that_no_message_holds_is_refused(group):
+def test_payload_too_large_for_a_message_is_refused(group):
     leader = group.elect()
     last = group[leader].last_index
     with pytest.raises(PayloadError, match="exceeds"):
@@ -232,7 +239,7 @@
     assert len(encode(request)) < MAX_MESSAGE_BYTES
 
 
-def test_bootstrap_is_idempotent_and_only_for_empty_folders(state):
+def test_bootstrap_is_idempotent_and_requires_an_empty_folder(state):
     assert bootstrap(state, members_of(*IDS)) == state
     assert first_ready(state).entries == state.entries
     with pytest.raises(BootstrapError, match="already holds"):
@@ -241,24 +248,24 @@
         bootstrap(Recovered("d/1"), members_of(*IDS))
 
 
-def test_bootstrap_keeps_a_vote_given_before_it():
+def test_bootstrap_keeps_an_earlier_vote():
     node = Node(MemoryDisk(Recovered("a/1")), 0.0)
-    assert ask(node, 5.0, "b/1", 2).granted
+    assert request_vote(node, 5.0, "b/1", 2).granted
     state = bootstrap(node.replica.recovered, members_of(*IDS))
     assert state.hard_state == HardState(2, "b/1")
     assert first_ready(state).hard_state == HardState(2, "b/1")
 
 
-def test_recovered_is_what_a_restart_finds(group):
+def test_recovered_equals_the_state_after_a_restart(group):
     leader = group.elect()
     group.propose(leader, *[b"%d" % i for i in range(20)])
     group.nodes[leader].compact()
     group.advance(1)
-    found, kept = group[leader].recovered, group.nodes[leader].disk.recovered
-    # The oldest kept entry only gives the term of the base.
-    assert found == attrs.evolve(kept, entries=kept.entries[1:])
+    recovered, saved = group[leader].recovered, group.nodes[leader].disk.recovered
+    # The oldest saved entry only provides the term of the base index.
+    assert recovered == attrs.evolve(saved, entries=saved.entries[1:])
 
 
-def test_settings_check_the_order_of_times():
+def test_settings_check_the_order_of_timeouts():
     with pytest.raises(ConfigurationError, match="lease_s < election_min_s"):
         ConsensusSettings(lease_s=1.0)
--- a/tests/test_consensus/test_members.py
+++ b/tests/test_consensus/test_members.py
@@ -16,7 +16,7 @@
     return Group(*IDS)
 
 
-def others(identity):
+def other_ids(identity):
     return [i for i in IDS if i != identity]
 
 
@@ -24,7 +24,7 @@
     return Members((*members.members, member(identity, Role.LEARNER)))
 
 
-def promoted(members, identity):
+def with_promoted(members, identity):
     return Members(
         tuple(
             attrs.evolve(m, role=Role.VOTER) if m.replica == identity else m
@@ -37,7 +37,7 @@
     return Members(tuple(m for m in members.members if m.replica != identity))
 
 
-def change(group, leader, new):
+def commit_change(group, leader, new):
     group[leader].propose_members(group.now, new)
     group.deliver()
     assert group[leader].members_index <= group[leader].commit
@@ -57,68 +57,70 @@
         check_change(members_of(*IDS), new)
 
 
-def test_a_group_keeps_a_voter():
+def test_removal_of_the_last_voter_is_refused():
     with pytest.raises(MembershipError, match="needs a voter"):
         check_change(members_of("a/1"), Members())
 
 
-def test_one_change_at_a_time(group):
+def test_second_uncommitted_change_is_refused(group):
     leader = group.elect()
     members = group[leader].members
-    group.add("d/1")
+    group.add_node("d/1")
     group[leader].propose_members(group.now, with_learner(members, "d/1"))
     with pytest.raises(MembershipError, match="not yet committed"):
         group[leader].propose_members(group.now, group[leader].members)
 
 
-def test_no_change_before_the_leader_committed_an_entry(group):
+def test_no_change_before_the_leader_has_committed_an_entry(group):
     group.advance(0.9)
     while not any(group[i].is_leader for i in IDS):
         group.now += 0.05
         for identity in IDS:
             group[identity].tick(group.now)
         while not any(group[i].is_leader for i in IDS):
-            group.collect()
-            if not group.pending:
+            group.collect_messages()
+            if not group.undelivered:
                 break
-            group.step(group.pending.pop(0))
+            group.deliver_message(group.undelivered.pop(0))
     (leader,) = [i for i in IDS if group[i].is_leader]
-    new = without(group[leader].members, others(leader)[0])
+    new = without(group[leader].members, other_ids(leader)[0])
     with pytest.raises(MembershipError, match="not yet committed an entry"):
         group[leader].propose_members(group.now, new)
 
 
-def test_repair_survives_a_second_failure(group):
+def test_replacing_a_failed_member_survives_a_second_failure(group):
     leader = group.elect()
-    lost, last = others(leader)
+    failed, remaining = other_ids(leader)
     group.propose(leader, *[b"%d" % i for i in range(40)])
-    group.cut.add(lost)
-    group.add("d/1")
+    group.isolated.add(failed)
+    group.add_node("d/1")
     members = group[leader].members
     group[leader].propose_members(group.now, with_learner(members, "d/1"))
-    group.cut.add("d/1")
+    group.isolated.add("d/1")
     group.deliver()
     with pytest.raises(MembershipError, match="not caught up"):
-        group[leader].propose_members(group.now, promoted(group[leader].members, "d/1"))
-    group.cut.remove("d/1")
+        group[leader].propose_members(
+            group.now, with_promoted(group[leader].members, "d/1")
+        )
+    group.isolated.remove("d/1")
     group.advance(0.5)
     assert group[leader].is_caught_up(group.now, "d/1")
-    change(group, leader, promoted(group[leader].members, "d/1"))
-    change(group, leader, without(group[leader].members, lost))
-    group.cut.add(leader)
+    commit_change(group, leader, with_promoted(group[leader].members, "d/1"))
+    commit_change(group, leader, without(group[leader].members, failed))
+    group.isolated.add(leader)
     new = group.elect()
     group.propose(new, b"after")
     group.advance(0.5)
     expected = [b"%d" % i for i in range(40)] + [b"after"]
     assert group.nodes["d/1"].applied == expected
-    assert group.nodes[last].applied == expected
+    assert group.nodes[remaining].applied == expected
 
 
-def test_learner_does_not_count(group):
+def test_learner_does_not_count_towards_the_quorum(group):
     leader = group.elect()
-    group.add("d/1")
-    change(group, leader, with_learner(group[leader].members, "d/1"))
-    group.cut.update(others(leader))
+    group.add_node("d/1")
+    commit_change(group, leader, with_learner(group[leader].members, "d/1"))
+    group.isolated.update(other_ids(leader))
     group[leader].propose(group.now, b"x")
     group.deliver()
     assert group[leader].commit < group[leader].last_index
@@ -126,13 +128,14 @@
     assert not group[leader].is_leader
 
 
-def test_removed_replica_does_not_disrupt(group):
+def test_removed_replica_does_not_disrupt_the_leader(group):
+    """A replica that missed its own removal keeps standing for election."""
     leader = group.elect()
-    removed = others(leader)[0]
-    group.cut.add(removed)
-    change(group, leader, without(group[leader].members, removed))
+    removed = other_ids(leader)[0]
+    group.isolated.add(removed)
+    commit_change(group, leader, without(group[leader].members, removed))
     term = group[leader].term
-    group.cut.clear()
+    group.isolated.clear()
     group.advance(10)
     assert group.leaders == [leader]
     assert group[leader].term == term
@@ -148,16 +151,21 @@
     assert leader not in voters(group[new].members)
 
 
-def test_leader_whose_own_removal_is_uncommitted_may_lead_again():
+def test_leader_with_uncommitted_removal_can_be_elected_again():
+    """The other replicas may be unable to elect a leader without its vote.
+
+    Of four replicas, one has failed, and only the log of the former leader holds the
+    removal of that leader.
+    """
     ids = (*IDS, "d/1")
     group = Group(*ids)
     leader = group.elect()
-    lost = next(i for i in ids if i != leader)
-    group.cut.update(ids)
-    group.cut.remove(leader)
+    failed = next(i for i in ids if i != leader)
+    group.isolated.update(ids)
+    group.isolated.remove(leader)
     group[leader].propose_members(group.now, without(group[leader].members, leader))
     group.advance(2.0)
-    group.cut = {lost}
+    group.isolated = {failed}
     new = group.elect()
     assert new != leader
     assert leader not in voters(group[new].members)
--- a/tests/test_consensus/test_replica.py
+++ b/tests/test_consensus/test_replica.py
@@ -14,7 +14,7 @@
     return Group(*IDS)
 
 
-def test_elects_replicates_and_restarts(group):
+def test_group_elects_replicates_and_restarts(group):
     leader = group.elect()
     group.propose(leader, b"x", b"y")
     group.advance(0.2)
@@ -34,14 +34,14 @@
     assert caught.value.leader_address == f"{leader}:1"
 
 
-def test_failover_keeps_committed(group):
+def test_failover_keeps_committed_entries(group):
     old = group.elect()
     group.propose(old, b"x")
-    group.cut.add(old)
+    group.isolated.add(old)
     new = group.elect()
     assert new != old
     group.propose(new, b"y")
-    group.cut.clear()
+    group.isolated.clear()
     group.advance(2)
     assert group.leaders == [new]
     assert group.nodes[old].applied == [b"x", b"y"]
--- a/tests/test_consensus/test_snapshots.py
+++ b/tests/test_consensus/test_snapshots.py
@@ -11,19 +11,19 @@
 
 
 @pytest.fixture
-def lagging():
-    """Return a group, its leader, and a follower that needs a snapshot."""
+def lagging_group():
+    """Return a group, its leader and a follower that needs a snapshot."""
     group = Group(*IDS)
     leader = group.elect()
     follower = next(i for i in IDS if i != leader)
-    group.cut.add(follower)
+    group.isolated.add(follower)
     group.propose(leader, *[b"%d" % i for i in range(60)])
     group.advance(0.2)
     group.nodes[leader].compact()
     return group, leader, follower
 
 
-def test_snapshot_is_due_by_entries_or_bytes():
+def test_snapshot_is_due_after_enough_entries_or_bytes():
     settings = ConsensusSettings(snapshot_every_entries=50, snapshot_every_bytes=1000)
     group = Group("a/1", settings=settings)
     leader = group.elect()
@@ -34,24 +34,24 @@
         group.nodes[leader].compact()
 
 
-def test_an_installed_snapshot_is_not_due_again():
+def test_installed_snapshot_is_not_due_again():
     group = Group(*IDS, settings=ConsensusSettings(snapshot_every_bytes=1000))
     leader = group.elect()
     follower = next(i for i in IDS if i != leader)
     group.propose(leader, b"x" * 900)
     group.advance(0.2)
-    group.cut.add(follower)
+    group.isolated.add(follower)
     group.propose(leader, *[b"y" * 90] * 3000)
     group.nodes[leader].compact()
-    group.cut.clear()
+    group.isolated.clear()
     group.advance(2)
     assert group[follower].applied == group[leader].applied
     assert not group[follower].is_snapshot_due
 
 
-def test_follower_catches_up_from_parts(lagging):
-    group, leader, follower = lagging
-    group.cut.clear()
+def test_follower_catches_up_from_snapshot_parts(lagging_group):
+    group, leader, follower = lagging_group
+    group.isolated.clear()
     group.advance(2)
     assert group.nodes[follower].applied == group.nodes[leader].applied
     group.nodes[follower].start(group.now)
@@ -59,46 +59,47 @@
     assert group.nodes[follower].applied == group.nodes[leader].applied
 
 
-def test_parts_go_on_where_they_stopped(lagging):
-    group, leader, follower = lagging
-    group.cut.clear()
+def test_transfer_continues_at_a_lost_part(lagging_group):
+    group, leader, follower = lagging_group
+    group.isolated.clear()
     offsets = []
-    step = group.step
+    deliver_message = group.deliver_message
 
-    def lose_the_third(item):
+    def drop_third_part(item):
         message = item[1].message
         if isinstance(message, SnapshotRequest):
             offsets.append(message.offset)
             if len(offsets) == 3:
                 return
-        step(item)
+        deliver_message(item)
 
-    group.step = lose_the_third
+    group.deliver_message = drop_third_part
     group.advance(3)
     assert group.nodes[follower].applied == group.nodes[leader].applied
     assert offsets == [0, 64, 128, *range(128, offsets[-1] + 1, 64)]
 
 
-def test_repeated_and_reordered_parts_do_no_harm(lagging):
-    group, leader, follower = lagging
-    group.cut.clear()
+def test_duplicate_parts_leave_the_snapshot_intact(lagging_group):
+    group, leader, follower = lagging_group
+    group.isolated.clear()
     offsets = []
-    step = group.step
+    deliver_message = group.deliver_message
 
     def deliver_twice(item):
-        step(item)
+        deliver_message(item)
         if isinstance(item[1].message, SnapshotRequest):
             offsets.append(item[1].message.offset)
-            step(item)
+            deliver_message(item)
 
-    group.step = deliver_twice
+    group.deliver_message = deliver_twice
     group.advance(3)
     assert group.nodes[follower].applied == group.nodes[leader].applied
     assert offsets == sorted(offsets)
 
 
-def test_a_lost_replica_does_not_hold_an_old_snapshot(lagging):
-    group, leader, follower = lagging
+def test_unreachable_replica_does_not_keep_an_old_snapshot(lagging_group):
+    """An old snapshot for a replica that never answers would stay in memory."""
+    group, leader, follower = lagging_group
     group.advance(0.2)
     old = group[leader].progress[follower].snapshot
     group.propose(leader, b"x")
@@ -108,31 +109,34 @@
     assert old.last_index < newest.last_index
 
 
-def test_kept_entries_spare_a_snapshot(lagging):
-    group, leader, follower = lagging
-    group.cut.clear()
+def test_kept_entries_make_a_snapshot_unnecessary(lagging_group):
+    group, leader, follower = lagging_group
+    group.isolated.clear()
     group.advance(2)
-    group.cut.add(follower)
+    group.isolated.add(follower)
     group.propose(leader, b"x", b"y")
     group.nodes[leader].compact()
-    group.cut.clear()
-    step = group.step
+    group.isolated.clear()
+    deliver_message = group.deliver_message
     sent = []
-    group.step = lambda item: (sent.append(item[1].message), step(item))
+    group.deliver_message = lambda item: (
+        sent.append(item[1].message),
+        deliver_message(item),
+    )
     group.advance(1)
     assert group.nodes[follower].applied[-2:] == [b"x", b"y"]
     assert not [m for m in sent if isinstance(m, SnapshotRequest)]
 
 
-def test_leader_sees_a_replica_that_lost_what_it_acknowledged():
+def test_leader_detects_a_replica_that_lost_acknowledged_entries():
     group = Group(*IDS)
     leader = group.elect()
     follower = next(i for i in IDS if i != leader)
-    older = group.nodes[follower].disk.recovered
+    older_state = group.nodes[follower].disk.recovered
     group.propose(leader, *[b"%d" % i for i in range(20)])
     group.advance(0.5)
     assert not group[leader].progress[follower].has_lost_entries
-    group.nodes[follower].disk.recovered = attrs.evolve(older)
+    group.nodes[follower].disk.recovered = attrs.evolve(older_state)
     group.nodes[follower].start(group.now)
     group.advance(0.5)
     assert group[leader].progress[follower].has_lost_entries
