--- a/berylnotch/consensus/folder.py
+++ b/berylnotch/consensus/folder.py
@@ -104,7 +104,7 @@
     lines = path.read_text(encoding="utf-8", errors="replace").splitlines()
     if len(lines) != 2 or "/" not in lines[0]:
         raise StorageError(
-            f"{path} is damaged: it must hold a replica id and inode numbers on two lines"
+            f"{path} is damaged: it must hold a replica id and two inode numbers"
         )
     if checks_copy and lines[1] != f"{folder.stat().st_ino} {path.stat().st_ino}":
         raise CopiedFolderError(
--- a/berylnotch/consensus/storage.py
+++ b/berylnotch/consensus/storage.py
@@ -240,10 +240,7 @@
 
     def _run_guarded(self, action: Callable[[T], None], argument: T) -> None:
         if self._has_failed or self._file is None:
-            raise StorageError(
-                f"{self._folder}: storage is closed or an earlier write failed; "
-                "nothing is saved"
-            )
+            raise StorageError(f"{self._folder}: storage is closed or has failed")
         try:
             action(argument)
         except OSError as error:
