--- a/berylnotch/control/changes.py
+++ b/berylnotch/control/changes.py
@@ -1,4 +1,4 @@
-"""Effects of operators' commands."""
+"""Handlers of the commands that operators send."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
     Subject,
     WithdrawKey,
 )
-from berylnotch.control.data import MAX_WITHDRAWN_KEYS, Context, Outcome, StateData
+from berylnotch.control.data import (
+    MAX_WITHDRAWN_KEYS,
+    ApplyContext,
+    CommandEffect,
+    StateData,
+)
 from berylnotch.control.errors import CommandError
 from berylnotch.control.events import (
     DrainChanged,
@@ -31,28 +36,30 @@
 from berylnotch.keys.keyring import KEY_HASH_BYTES
 
 
-def apply_text(data: StateData, context: Context, command: ApplyText) -> Outcome:
-    """Put a text in force if its base is in force."""
+def apply_text(
+    data: StateData, context: ApplyContext, command: ApplyText
+) -> CommandEffect:
+    """Replace the fleet configuration if its base revision is in force."""
     view = data.view
     if command.base_revision != view.revision:
-        raise CommandError(Status.CONFLICT, _conflict(data, command))
+        raise CommandError(Status.CONFLICT, _format_conflict(data, command))
     if command.text == view.text and view.revision:
-        return Outcome("the text is in force already")
+        return CommandEffect("the text is in force already")
     try:
         fleet = parse(command.text)
     except FleetTextError as error:
         raise CommandError(Status.INVALID, str(error)) from error
     events: list[object] = [TextChanged(view.revision + 1, command.text)]
-    events.extend(_first_weights(data, fleet, context))
+    events.extend(_initial_weights_events(data, fleet, context))
     _start_rollouts(data, context, command.operator, fleet)
     data.text_operator = command.operator
     data.text_at_ms = context.at_ms
-    data.book.prune(fleet.services, fleet.targets)
-    return Outcome(events=tuple(events))
+    data.order_book.prune(fleet.services, fleet.targets)
+    return CommandEffect(events=tuple(events))
 
 
-def give_key(data: StateData, context: Context, command: GiveKey) -> Outcome:
-    """Accept a key of an organisation that the text names."""
+def give_key(data: StateData, context: ApplyContext, command: GiveKey) -> CommandEffect:
+    """Accept a new key of an organisation that the fleet configuration names."""
     keyring = data.view.keyring
     if command.organisation not in data.view.fleet.organisations:
         message = f"organisation {command.organisation!r} is not in the text"
@@ -60,47 +67,55 @@
     if not command.key_id or len(command.key_hash) != KEY_HASH_BYTES:
         message = f"a key has an id and a hash of {KEY_HASH_BYTES} bytes"
         raise CommandError(Status.INVALID, message)
-    if command.key_id in data.withdrawn:
+    if command.key_id in data.withdrawn_keys:
         message = f"key {command.key_id} was withdrawn; make a new one"
         raise CommandError(Status.EXISTS, message)
-    held = keyring.get(command.key_id) or keyring.find(command.key_hash)
-    if held is not None:
-        raise CommandError(Status.EXISTS, f"key {held.key_id} exists already")
-    data.given_ms[command.key_id] = context.at_ms
+    existing = keyring.find_by_id(command.key_id) or keyring.find_by_hash(
+        command.key_hash
+    )
+    if existing is not None:
+        raise CommandError(Status.EXISTS, f"key {existing.key_id} exists already")
+    data.key_issued_ms[command.key_id] = context.at_ms
     event = KeyGiven(command.key_id, command.organisation, command.key_hash)
-    return Outcome(events=(event,))
+    return CommandEffect(events=(event,))
 
 
-def withdraw_key(data: StateData, context: Context, command: WithdrawKey) -> Outcome:
-    """Stop accepting a key; a withdrawn one stays withdrawn."""
-    key = data.view.keyring.get(command.key_id)
+def withdraw_key(
+    data: StateData, context: ApplyContext, command: WithdrawKey
+) -> CommandEffect:
+    """Stop accepting a key and refuse its ID from then on."""
+    key = data.view.keyring.find_by_id(command.key_id)
     if key is None:
-        if command.key_id in data.withdrawn:
-            return Outcome("the key was withdrawn already")
+        if command.key_id in data.withdrawn_keys:
+            return CommandEffect("the key was withdrawn already")
         raise CommandError(Status.NOT_FOUND, f"there is no key {command.key_id!r}")
-    given_ms = data.given_ms.pop(command.key_id, 0)
-    line = KeyLine(command.key_id, key.organisation, given_ms, context.at_ms)
-    data.withdrawn[command.key_id] = line
-    if len(data.withdrawn) > MAX_WITHDRAWN_KEYS:
-        del data.withdrawn[next(iter(data.withdrawn))]
-    return Outcome(events=(KeyWithdrawn(command.key_id),))
-
-
-def set_drain(data: StateData, context: Context, command: SetDrain) -> Outcome:
-    """Keep new work from a target or VM, or let it come again."""
+    issued_ms = data.key_issued_ms.pop(command.key_id, 0)
+    line = KeyLine(command.key_id, key.organisation, issued_ms, context.at_ms)
+    data.withdrawn_keys[command.key_id] = line
+    if len(data.withdrawn_keys) > MAX_WITHDRAWN_KEYS:
+        del data.withdrawn_keys[next(iter(data.withdrawn_keys))]
+    return CommandEffect(events=(KeyWithdrawn(command.key_id),))
+
+
+def set_drain(
+    data: StateData, context: ApplyContext, command: SetDrain
+) -> CommandEffect:
+    """Start or stop draining a target or VM; a draining one gets no new requests."""
     fleet = data.view.fleet
-    known = fleet.targets if command.subject is Subject.TARGET else fleet.vms
-    if command.name not in known:
+    configured = fleet.targets if command.subject is Subject.TARGET else fleet.vms
+    if command.name not in configured:
         message = f"{command.subject.value} {command.name!r} is not in the text"
         raise CommandError(Status.NOT_FOUND, message)
     if data.view.is_draining(command.subject, command.name) is command.draining:
-        return Outcome("nothing to change")
+        return CommandEffect("nothing to change")
     event = DrainChanged(command.subject, command.name, command.draining)
-    return Outcome(events=(event,))
+    return CommandEffect(events=(event,))
 
 
-def start_rollout(data: StateData, context: Context, command: StartRollout) -> Outcome:
-    """Let a service's engines be brought to a weights version."""
+def start_rollout(
+    data: StateData, context: ApplyContext, command: StartRollout
+) -> CommandEffect:
+    """Start to bring a service's engines to a weights version."""
     service = data.view.fleet.services.get(command.service)
     if service is None or service.kind is not ServiceKind.LANGUAGE:
         message = f"{command.service!r} is no language service of the text"
@@ -111,51 +126,57 @@
         raise CommandError(Status.INVALID, str(error)) from error
     if not version:
         raise CommandError(Status.INVALID, "the version is empty")
-    data.book.start(_rollout(context, command.operator, command.service, version))
-    return Outcome()
+    data.order_book.start(
+        _build_rollout(context, command.operator, command.service, version)
+    )
+    return CommandEffect()
 
 
-def settle_claim(data: StateData, context: Context, command: SettleClaim) -> Outcome:
-    """Record an operator's finding on an unknown outcome."""
-    return Outcome(claim=data.ledger.settle(context.at_ms, command))
+def settle_claim(
+    data: StateData, context: ApplyContext, command: SettleClaim
+) -> CommandEffect:
+    """Record the outcome that an operator found for a claim in state UNKNOWN."""
+    return CommandEffect(claim=data.ledger.settle(context.at_ms, command))
 
 
-def _conflict(data: StateData, command: ApplyText) -> str:
+def _format_conflict(data: StateData, command: ApplyText) -> str:
     base = f"this change is based on revision {command.base_revision}"
     if not data.view.revision:
         return f"no text is in force; {base}"
-    when = format_ms(data.text_at_ms)
+    applied_at = format_ms(data.text_at_ms)
     return (
         f"revision {data.view.revision} is in force, "
-        f"applied by {data.text_operator} at {when}; {base}"
+        f"applied by {data.text_operator} at {applied_at}; {base}"
     )
 
 
-def _first_weights(
-    data: StateData, fleet: Fleet, context: Context
+def _initial_weights_events(
+    data: StateData, fleet: Fleet, context: ApplyContext
 ) -> list[WeightsChanged]:
-    found = []
+    events = []
     for target in fleet.targets.values():
         service = fleet.services[target.service]
-        before = data.view.fleet.targets.get(target.name)
-        is_new = before is None or before.service != target.service
+        previous = data.view.fleet.targets.get(target.name)
+        is_new = previous is None or previous.service != target.service
         if service.kind is ServiceKind.LANGUAGE and is_new:
             version = service.weights
-            found.append(WeightsChanged(target.name, service.name, version, 0))
-    return found
+            events.append(WeightsChanged(target.name, service.name, version, 0))
+    return events
 
 
 def _start_rollouts(
-    data: StateData, context: Context, operator: str, fleet: Fleet
+    data: StateData, context: ApplyContext, operator: str, fleet: Fleet
 ) -> None:
     for service in fleet.services.values():
-        before = data.view.fleet.services.get(service.name)
-        if before is not None and before.weights != service.weights:
+        previous = data.view.fleet.services.get(service.name)
+        if previous is not None and previous.weights != service.weights:
             version = service.weights
-            data.book.start(_rollout(context, operator, service.name, version))
+            data.order_book.start(
+                _build_rollout(context, operator, service.name, version)
+            )
 
 
-def _rollout(
-    context: Context, operator: str, service: str, version: str
+def _build_rollout(
+    context: ApplyContext, operator: str, service: str, version: str
 ) -> RolloutRecord:
     return RolloutRecord(service, version, context.index, operator, context.at_ms)
--- a/berylnotch/control/commands.py
+++ b/berylnotch/control/commands.py
@@ -1,4 +1,4 @@
-"""Commands that the replicated log carries, and their results."""
+"""Commands in the replicated log, their results and the stored records."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Subject(Enum):
-    """What a drain or state names."""
+    """Kind of machine that a drain or life state refers to."""
 
     TARGET = "target"
     VM = "vm"
 
 
 class LifeState(Enum):
-    """Whether a VM or target may get new work."""
+    """Life state of a VM or target; only a LIVE one may get new requests."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -23,7 +23,10 @@
 
 
 class ClaimState(Enum):
-    """State of a non-idempotent request."""
+    """State of a claim on the run of a non-idempotent request.
+
+    UNKNOWN means that the request may have run.
+    """
 
     RUNNING = "running"
     DONE = "done"
@@ -32,7 +35,7 @@
 
 
 class Status(Enum):
-    """Result of a command."""
+    """Status of a command's result."""
 
     OK = "ok"
     CONFLICT = "conflict"
@@ -43,7 +46,10 @@
 
 @frozen
 class ApplyText:
-    """Replace the operators' text, if ``base_revision`` is in force."""
+    """Replace the fleet configuration (the operators' text).
+
+    The command is rejected unless ``base_revision`` is the revision in force.
+    """
 
     change_id: str
     operator: str
@@ -53,7 +59,7 @@
 
 @frozen
 class GiveKey:
-    """Accept a caller's key; only its keyed hash is stored."""
+    """Accept a caller's new key, of which only the keyed hash is stored."""
 
     change_id: str
     operator: str
@@ -64,7 +70,7 @@
 
 @frozen
 class WithdrawKey:
-    """Stop accepting a key."""
+    """Stop accepting a caller's key, permanently."""
 
     change_id: str
     operator: str
@@ -73,7 +79,7 @@
 
 @frozen
 class SetDrain:
-    """Operator's order that a target or VM gets no new work, or does again."""
+    """Start or stop draining a target or VM; a draining one gets no new requests."""
 
     change_id: str
     operator: str
@@ -84,7 +90,7 @@
 
 @frozen
 class SetLifeState:
-    """Observed state of a VM or target; ``source`` says who observed it."""
+    """Report the life state of a VM or target that ``source`` observed."""
 
     subject: Subject
     name: str
@@ -95,7 +101,7 @@
 
 @frozen
 class OpenClaim:
-    """Claim the only run of a non-idempotent request."""
+    """Claim the right to run a non-idempotent request once."""
 
     organisation: str
     idempotency_key: str
@@ -106,7 +112,7 @@
 
 @frozen
 class CloseClaim:
-    """Outcome of a claimed run; only the claim's ``attempt`` may close it."""
+    """Record the outcome of a claimed run; only the claim's ``attempt`` may do so."""
 
     organisation: str
     idempotency_key: str
@@ -119,7 +125,7 @@
 
 @frozen
 class SettleClaim:
-    """Operator's finding on an unknown outcome."""
+    """Record the outcome that an operator found for a claim in state UNKNOWN."""
 
     change_id: str
     operator: str
@@ -131,14 +137,14 @@
 
 @frozen
 class ExpireClaims:
-    """Forget closed claims older than ``before_ms`` (Unix time)."""
+    """Delete claims that were closed before ``before_ms`` (Unix time, ms)."""
 
     before_ms: int
 
 
 @frozen
 class ReportCrash:
-    """A target was lost while it ran the request with this fingerprint."""
+    """Report that a target was lost while running the request with this fingerprint."""
 
     fingerprint: bytes
     target: str
@@ -147,7 +153,7 @@
 
 @frozen
 class StartRollout:
-    """Bring a service's engines to a weights version, one order at a time."""
+    """Bring a service's engines to a weights version, by orders to single engines."""
 
     change_id: str
     operator: str
@@ -157,7 +163,7 @@
 
 @frozen
 class IssueOrder:
-    """Leader's order to one engine; its log index is the fencing number."""
+    """Order one engine to load weights; the log index is the fencing token."""
 
     target: str
     service: str
@@ -166,7 +172,11 @@
 
 @frozen
 class FinishOrder:
-    """Result of the order that was fenced with ``fence``."""
+    """Record the result of the order with the fencing token ``fence``.
+
+    With ``fence`` 0 the command reports the version that an engine without a running
+    order holds.
+    """
 
     target: str
     fence: int
@@ -177,10 +187,10 @@
 
 @frozen
 class Proposal:
-    """What one log entry of kind COMMAND holds.
+    """Content of a log entry of kind COMMAND.
 
-    ``at_ms`` is the leader's Unix time in milliseconds, so that every replica
-    applies the same time.
+    ``at_ms`` is the leader's Unix time in milliseconds. It is part of the entry so
+    that every replica applies the command with the same time.
     """
 
     at_ms: int
@@ -196,13 +206,15 @@
     status : Status
         Whether the command took effect.
     index : int
-        Log index at which it was applied first; a resend repeats it.
+        Log index at which the command was first applied. The result of a resent
+        command has the same index.
     revision : int
-        Revision of the operators' text in force after it.
+        Revision of the fleet configuration in force after the command.
     message : str
-        For people: what was wrong, or by whom the revision was taken.
-    claim : ClaimRecord
-        For claim commands, the claim as it now stands.
+        Text for the operator, such as the reason of a rejection or who applied the
+        revision that caused a conflict.
+    claim : ClaimRecord or None
+        For claim commands, the claim after the command.
     """
 
     status: Status
@@ -214,7 +226,12 @@
 
 @frozen
 class ClaimRecord:
-    """A claim as stored."""
+    """Stored claim on the run of a non-idempotent request.
+
+    ``closed_ms`` is 0 while the claim is RUNNING. ``http_status``, ``content_type``
+    and ``body`` are the stored answer. ``note`` is set once an operator has settled
+    the claim.
+    """
 
     organisation: str
     idempotency_key: str
@@ -232,7 +249,7 @@
 
 @frozen
 class AuditRecord:
-    """One line of the audit trail."""
+    """Record of the audit trail."""
 
     index: int
     at_ms: int
--- a/berylnotch/control/data.py
+++ b/berylnotch/control/data.py
@@ -1,4 +1,4 @@
-"""Parts of the control state, and what a handler of a command returns."""
+"""Data that command handlers change, and the context and result of a handler."""
 
 from __future__ import annotations
 
@@ -10,38 +10,56 @@
 from berylnotch.ledger.ledger import Ledger
 from berylnotch.orders.book import OrderBook
 
-#: Newest withdrawn keys that are listed; the ids of older ones are forgotten.
+#: Maximum number of withdrawn keys that are retained for listings. When the oldest
+#: is evicted, its ID is no longer known to be withdrawn.
 MAX_WITHDRAWN_KEYS = 20_000
 
 
 @mutable
 class StateData:
-    """Everything that commands change.
+    """Mutable parts of the control state.
 
-    ``text_operator`` and ``text_at_ms`` tell who put the text in force and
-    when.
+    Parameters
+    ----------
+    view : View
+        The part that routers replicate.
+    ledger : Ledger
+        Claims of non-idempotent requests.
+    order_book : OrderBook
+        Rollouts, and the newest order to each engine.
+    key_issued_ms : dict of str to int
+        Unix time in milliseconds at which each accepted key was added, by key ID.
+    withdrawn_keys : dict of str to KeyLine
+        Withdrawn keys by key ID, oldest first.
+    text_operator : str
+        Operator who applied the fleet configuration in force.
+    text_at_ms : int
+        Unix time in milliseconds at which it was applied.
     """
 
     view: View = field(factory=View)
     ledger: Ledger = field(factory=Ledger)
-    book: OrderBook = field(factory=OrderBook)
-    given_ms: dict[str, int] = field(factory=dict)
-    withdrawn: dict[str, KeyLine] = field(factory=dict)
+    order_book: OrderBook = field(factory=OrderBook)
+    key_issued_ms: dict[str, int] = field(factory=dict)
+    withdrawn_keys: dict[str, KeyLine] = field(factory=dict)
     text_operator: str = ""
     text_at_ms: int = 0
 
 
 @frozen
-class Context:
-    """Where and when a command is applied; ``at_ms`` never falls."""
+class ApplyContext:
+    """Log index and time at which a command is applied.
+
+    ``at_ms`` is a Unix time in milliseconds that never decreases.
+    """
 
     index: int
     at_ms: int
 
 
 @frozen
-class Outcome:
-    """Effect of a command that took effect."""
+class CommandEffect:
+    """Message, events and claim that an accepted command results in."""
 
     message: str = ""
     events: tuple[object, ...] = ()
--- a/berylnotch/control/describe.py
+++ b/berylnotch/control/describe.py
@@ -1,4 +1,4 @@
-"""Lines of the audit trail that commands leave."""
+"""Descriptions of commands for the audit trail."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     WithdrawKey,
 )
 
-#: Operator's name of what the leader itself orders.
-CONTROLLER = "controller"
+#: Operator name in the audit records of commands that the leader proposes.
+CONTROLLER_OPERATOR = "controller"
 
 
 @frozen
-class Line:
-    """What a command is, for the audit trail."""
+class CommandDescription:
+    """Operator, action and subject of a command."""
 
     operator: str
     action: str
@@ -34,15 +34,15 @@
     base_revision: int = 0
 
 
-def describe(command: Any) -> Line | None:
-    """Return a command's line, or None if it leaves none."""
-    found = _DESCRIBE.get(type(command))
-    return found(command) if found else None
+def describe(command: Any) -> CommandDescription | None:
+    """Return a command's description, or None if the command is not audited."""
+    describer = _DESCRIBERS.get(type(command))
+    return describer(command) if describer else None
 
 
-def _apply_text(command: ApplyText) -> Line:
+def _apply_text(command: ApplyText) -> CommandDescription:
     digest = hashlib.sha256(command.text.encode()).hexdigest()[:16]
-    return Line(
+    return CommandDescription(
         command.operator,
         "apply-text",
         f"text sha256:{digest}",
@@ -51,50 +51,56 @@
     )
 
 
-def _give_key(command: GiveKey) -> Line:
+def _give_key(command: GiveKey) -> CommandDescription:
     subject = f"key {command.key_id} of {command.organisation}"
-    return Line(command.operator, "give-key", subject, command.change_id)
+    return CommandDescription(command.operator, "give-key", subject, command.change_id)
 
 
-def _withdraw_key(command: WithdrawKey) -> Line:
+def _withdraw_key(command: WithdrawKey) -> CommandDescription:
     subject = f"key {command.key_id}"
-    return Line(command.operator, "withdraw-key", subject, command.change_id)
+    return CommandDescription(
+        command.operator, "withdraw-key", subject, command.change_id
+    )
 
 
-def _set_drain(command: SetDrain) -> Line:
+def _set_drain(command: SetDrain) -> CommandDescription:
     action = "drain" if command.draining else "undrain"
     subject = f"{command.subject.value} {command.name}"
-    return Line(command.operator, action, subject, command.change_id)
+    return CommandDescription(command.operator, action, subject, command.change_id)
 
 
-def _start_rollout(command: StartRollout) -> Line:
+def _start_rollout(command: StartRollout) -> CommandDescription:
     subject = f"service {command.service} to {command.version}"
-    return Line(command.operator, "start-rollout", subject, command.change_id)
+    return CommandDescription(
+        command.operator, "start-rollout", subject, command.change_id
+    )
 
 
-def _settle_claim(command: SettleClaim) -> Line:
+def _settle_claim(command: SettleClaim) -> CommandDescription:
     key = f"{command.organisation}/{command.idempotency_key}"
     subject = f"claim {key} as {command.state.value}"
-    return Line(command.operator, "settle-claim", subject, command.change_id)
+    return CommandDescription(
+        command.operator, "settle-claim", subject, command.change_id
+    )
 
 
-def _issue_order(command: IssueOrder) -> Line:
+def _issue_order(command: IssueOrder) -> CommandDescription:
     subject = f"target {command.target} to {command.version}"
-    return Line(CONTROLLER, "issue-order", subject)
+    return CommandDescription(CONTROLLER_OPERATOR, "issue-order", subject)
 
 
-def _finish_order(command: FinishOrder) -> Line:
+def _finish_order(command: FinishOrder) -> CommandDescription:
     result = "done" if command.ok else "failed"
     subject = f"target {command.target} order {command.fence} {result}"
-    return Line(CONTROLLER, "finish-order", subject)
+    return CommandDescription(CONTROLLER_OPERATOR, "finish-order", subject)
 
 
-def _set_life_state(command: SetLifeState) -> Line:
+def _set_life_state(command: SetLifeState) -> CommandDescription:
     subject = f"{command.subject.value} {command.name} {command.state.value}"
-    return Line(command.source, "set-life-state", subject)
+    return CommandDescription(command.source, "set-life-state", subject)
 
 
-_DESCRIBE = {
+_DESCRIBERS = {
     ApplyText: _apply_text,
     GiveKey: _give_key,
     WithdrawKey: _withdraw_key,
--- a/berylnotch/control/errors.py
+++ b/berylnotch/control/errors.py
@@ -7,14 +7,14 @@
 
 
 class CommandError(ControlError):
-    """A command has no effect.
+    """A command is rejected and changes nothing.
 
     Parameters
     ----------
     status : Status
-        Status to answer with.
+        Status of the command's result.
     message : str
-        What is wrong and what to do.
+        Reason of the rejection and, where there is one, the remedy.
     """
 
     def __init__(self, status: Status, message: str) -> None:
@@ -23,8 +23,8 @@
 
 
 class SnapshotError(ControlError):
-    """A snapshot is damaged or of an unknown format."""
+    """A snapshot is damaged or has an unknown format."""
 
 
 class EventError(ControlError):
-    """An event cannot be applied; the view stays as it was."""
+    """An event cannot be applied; the view is unchanged."""
--- a/berylnotch/control/eventlog.py
+++ b/berylnotch/control/eventlog.py
@@ -1,4 +1,4 @@
-"""Newest events, for subscribers that are not far behind."""
+"""Bounded log of the newest events, from which subscribers catch up."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from berylnotch.control.events import VersionedEvent
 
-#: Most events held.
+#: Maximum number of retained events.
 MAX_EVENTS = 20_000
-#: Most bytes of events held.
+#: Maximum total size of the retained events, in bytes.
 MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
@@ -18,14 +18,14 @@
     Parameters
     ----------
     version : int, default=0
-        Version of the state that the first event changes.
+        Version of the state to which the first event applies.
     """
 
     def __init__(self, version: int = 0) -> None:
-        self._base = version
+        self._base_version = version
         self._version = version
         self._events: deque[VersionedEvent] = deque()
-        self._bytes = 0
+        self._total_bytes = 0
 
     @property
     def version(self) -> int:
@@ -36,27 +36,28 @@
         """Append the events of one version."""
         for event in events:
             self._events.append(event)
-            self._bytes += len(event.event)
+            self._total_bytes += len(event.event)
             self._version = event.version
-        while self._events and self._is_full():
-            self._drop_oldest_version()
+        while self._events and self._is_over_limit():
+            self._evict_oldest_version()
 
-    def after(self, version: int) -> tuple[VersionedEvent, ...] | None:
-        """Return the events after a version, or None if some were dropped."""
-        if version < self._base:
+    def events_after(self, version: int) -> tuple[VersionedEvent, ...] | None:
+        """Return the events after a version, or None if some were evicted."""
+        if version < self._base_version:
             return None
-        found = []
+        newer = []
         for event in reversed(self._events):
             if event.version <= version:
                 break
-            found.append(event)
-        return tuple(reversed(found))
-
-    def _is_full(self) -> bool:
-        return len(self._events) > MAX_EVENTS or self._bytes > MAX_EVENT_BYTES
-
-    def _drop_oldest_version(self) -> None:
-        # Events of one version are sent together or not at all.
-        self._base = self._events[0].version
-        while self._events and self._events[0].version == self._base:
-            self._bytes -= len(self._events.popleft().event)
+            newer.append(event)
+        return tuple(reversed(newer))
+
+    def _is_over_limit(self) -> bool:
+        return len(self._events) > MAX_EVENTS or self._total_bytes > MAX_EVENT_BYTES
+
+    def _evict_oldest_version(self) -> None:
+        # Subscribers apply the events of one version all together, so that they are
+        # also evicted together.
+        self._base_version = self._events[0].version
+        while self._events and self._events[0].version == self._base_version:
+            self._total_bytes -= len(self._events.popleft().event)
--- a/berylnotch/control/events.py
+++ b/berylnotch/control/events.py
@@ -9,7 +9,7 @@
 
 @frozen
 class TextChanged:
-    """A new revision of the operators' text is in force."""
+    """A new revision of the fleet configuration is in force."""
 
     revision: int
     text: str
@@ -17,7 +17,7 @@
 
 @frozen
 class KeyGiven:
-    """A key is accepted."""
+    """A key was added and is accepted from now on."""
 
     key_id: str
     organisation: str
@@ -26,14 +26,14 @@
 
 @frozen
 class KeyWithdrawn:
-    """A key is no longer accepted."""
+    """A key was withdrawn and is no longer accepted."""
 
     key_id: str
 
 
 @frozen
 class DrainChanged:
-    """An operator drained a target or VM, or ended that."""
+    """An operator started or stopped draining a target or VM."""
 
     subject: Subject
     name: str
@@ -42,7 +42,7 @@
 
 @frozen
 class LifeStateChanged:
-    """A VM or target changed its state."""
+    """A VM or target changed its life state, as ``source`` observed it."""
 
     subject: Subject
     name: str
@@ -53,7 +53,7 @@
 
 @frozen
 class CrashReported:
-    """One more target was lost while it ran this fingerprint."""
+    """A target was lost while running the request with this fingerprint."""
 
     fingerprint: bytes
     target: str
@@ -62,7 +62,11 @@
 
 @frozen
 class WeightsChanged:
-    """Weights version of an engine; empty while it loads."""
+    """An engine's weights version changed.
+
+    ``version`` is empty while the engine loads. ``fence`` is the fencing token of the
+    engine's newest order, 0 if there was none.
+    """
 
     target: str
     service: str
@@ -72,9 +76,9 @@
 
 @frozen
 class VersionedEvent:
-    """An encoded event and the log index that brought it.
+    """An encoded event with the log index of its command as its version.
 
-    Several events may share one index; a view applies all of them or none.
+    Several events may share one version; a view applies all of them or none.
     """
 
     version: int
--- a/berylnotch/control/limits.py
+++ b/berylnotch/control/limits.py
@@ -1,4 +1,4 @@
-"""Bounds of what a command may hold, so that the state stays bounded."""
+"""Limits on the size of commands, which keep the size of the state bounded."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from berylnotch.control.commands import ApplyText, CloseClaim, Status
 from berylnotch.control.errors import CommandError
 
-#: Longest text field of a command, the operators' text aside, in characters.
+#: Maximum length of a text field, in characters. The fleet configuration is exempt.
 MAX_FIELD_CHARACTERS = 512
-#: Longest bytes field of a command, a stored answer aside, in bytes.
+#: Maximum length of a bytes field, in bytes. The body of a stored answer is exempt.
 MAX_FIELD_BYTES = 64
-#: Longest message of a result, in characters.
+#: Maximum length of a result's message, in characters.
 MAX_MESSAGE_CHARACTERS = 4000
 
-_UNBOUNDED = {(ApplyText, "text"), (CloseClaim, "body")}
+_EXEMPT_FIELDS = {(ApplyText, "text"), (CloseClaim, "body")}
 
 
-def check_sizes(command: Any) -> None:
-    """Refuse a command with a field that is too long.
+def check_field_sizes(command: Any) -> None:
+    """Check that no field of a command is too long.
 
     Raises
     ------
     CommandError
-        With status INVALID, naming the field.
+        If a field is too long; the status is INVALID and the message names it.
     """
     for field in attrs.fields(type(command)):
         value = getattr(command, field.name)
-        if (type(command), field.name) in _UNBOUNDED:
+        if (type(command), field.name) in _EXEMPT_FIELDS:
             continue
         if isinstance(value, str) and len(value) > MAX_FIELD_CHARACTERS:
             message = f"{field.name} is over {MAX_FIELD_CHARACTERS} characters"
@@ -39,10 +39,10 @@
             raise CommandError(Status.INVALID, message)
 
 
-def shorten(message: str) -> str:
-    """Return a message, cut at a line if it is too long."""
+def truncate_message(message: str) -> str:
+    """Return a message, truncated at the end of a line if it is too long."""
     if len(message) <= MAX_MESSAGE_CHARACTERS:
         return message
     head = message[:MAX_MESSAGE_CHARACTERS].rpartition("\n")[0]
-    left = message.count("\n") - head.count("\n")
-    return f"{head or message[:MAX_MESSAGE_CHARACTERS]}\n({left} more lines)"
+    omitted = message.count("\n") - head.count("\n")
+    return f"{head or message[:MAX_MESSAGE_CHARACTERS]}\n({omitted} more lines)"
--- a/berylnotch/control/protocol.py
+++ b/berylnotch/control/protocol.py
@@ -1,4 +1,4 @@
-"""Messages between routers, controllers and the operators' tool."""
+"""Messages between routers, controllers and the operators' command-line tool."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 @frozen
 class SyncRequest:
-    """Ask a controller or peer router for everything after ``version``.
+    """Ask a controller or peer router for the events after ``version``.
 
-    The answer is held back for up to ``wait_ms`` while nothing is new.
+    This is a long poll: the answer is delayed for up to ``wait_ms`` while there is no
+    newer version.
     """
 
     vm: str
@@ -24,12 +25,13 @@
 
 @frozen
 class SyncReply:
-    """Events after the asked version, or a whole snapshot.
+    """Events after the requested version, or a snapshot of the view.
 
-    ``age_ms`` bounds how long before this answer a leader with a valid lease
-    vouched for ``version``; it is negative if nobody vouched yet. The receiver
-    counts from when it sent the request. ``group`` names the group of controllers
-    that made the state; versions of different groups cannot be compared.
+    ``age_ms`` is an upper bound of the time between this answer and the moment at
+    which a leader with a valid lease last confirmed that ``version`` was current; it
+    is negative if no leader has confirmed it yet. The receiver adds it to the time
+    since it sent the request. ``group`` identifies the group of controllers that
+    produced the state; versions of different groups are not comparable.
     """
 
     version: int
@@ -42,40 +44,43 @@
 
 @frozen
 class ProposeRequest:
-    """Ask the leader to commit an encoded command."""
+    """Ask the leader to commit and apply an encoded command."""
 
     command: bytes
 
 
 @frozen
 class ProposeReply:
-    """The command's result after it was committed and applied."""
+    """Result of a command that was committed and applied."""
 
     result: Result
 
 
 @frozen
 class NotLeader:
-    """Refusal of a controller that does not lead; ``leader_address`` may."""
+    """Refusal by a controller that is not the leader.
+
+    ``leader_address`` is the presumed leader's address, empty if unknown.
+    """
 
     leader_address: str = ""
 
 
 @frozen
 class Refused:
-    """The request is wrong and a repeat would be refused as well."""
+    """Refusal of an invalid request; a retry would be refused as well."""
 
     message: str
 
 
 @frozen
 class ShowRequest:
-    """Ask the leader for the operators' text in force."""
+    """Ask the leader for the fleet configuration in force."""
 
 
 @frozen
 class ShowReply:
-    """The operators' text in force."""
+    """Fleet configuration in force and its revision."""
 
     revision: int
     text: str
@@ -83,7 +88,7 @@
 
 @frozen
 class AuditRequest:
-    """Ask for at most ``limit`` records after ``after_index``."""
+    """Ask for at most ``limit`` audit records after log index ``after_index``."""
 
     after_index: int
     limit: int
@@ -98,7 +103,11 @@
 
 @frozen
 class KeyLine:
-    """A key as operators see it."""
+    """A caller's key in a `KeysReply`, without its hash.
+
+    ``given_ms`` and ``withdrawn_ms`` are Unix times in milliseconds, 0 if unknown or
+    not withdrawn.
+    """
 
     key_id: str
     organisation: str
@@ -108,21 +117,21 @@
 
 @frozen
 class KeysRequest:
-    """Ask for the keys of one organisation, or of all if empty."""
+    """Ask for the keys of an organisation, or of all if it is empty."""
 
     organisation: str = ""
 
 
 @frozen
 class KeysReply:
-    """Keys, withdrawn ones included."""
+    """Accepted and withdrawn keys."""
 
     keys: tuple[KeyLine, ...] = ()
 
 
 @frozen
 class ClaimRequest:
-    """Look one claim up."""
+    """Ask for a claim."""
 
     organisation: str
     idempotency_key: str
@@ -130,19 +139,23 @@
 
 @frozen
 class ClaimReply:
-    """The claim, or none."""
+    """The requested claim, or None if it does not exist."""
 
     claim: ClaimRecord | None = None
 
 
 @frozen
 class StatusRequest:
-    """Ask a controller how it and the fleet are."""
+    """Ask a controller for the state of the fleet."""
 
 
 @frozen
 class ControllerLine:
-    """A controller in a `StatusReply`; ``lag`` is in log entries."""
+    """A controller in a `StatusReply`.
+
+    ``match`` is the highest log index known to be stored on it. ``heard_ms`` is the
+    time since its last message in milliseconds, negative if there was none.
+    """
 
     member: Member
     is_leader: bool
@@ -152,7 +165,10 @@
 
 @frozen
 class RouterLine:
-    """A router in a `StatusReply`."""
+    """A router in a `StatusReply`.
+
+    ``heard_ms`` is the time since its last heartbeat in milliseconds.
+    """
 
     vm: str
     incarnation: str
@@ -177,7 +193,11 @@
 
 @frozen
 class OrganisationLine:
-    """An organisation in a `StatusReply`; rates in tokens a second."""
+    """An organisation in a `StatusReply`.
+
+    ``rate`` and ``used_per_s`` are in tokens per second, ``burst`` and ``level`` (of
+    the token bucket) in tokens.
+    """
 
     name: str
     rate: int
@@ -203,10 +223,11 @@
 
 @frozen
 class MemberChangeRequest:
-    """Operator's request to change the controllers.
+    """Ask the leader to add, remove or replace a controller.
 
-    ``replace`` names the member to remove once ``add`` has caught up; either
-    may be empty. The answer comes after the last step was committed.
+    ``replace`` names the member that is removed after the added member has caught
+    up. ``replace`` and the fields of the added member may be empty. The answer
+    follows once the last membership change is committed.
     """
 
     change_id: str
@@ -219,12 +240,12 @@
 
 @frozen
 class JoinRequest:
-    """Ask a controller for its replica identity, to add it to a group."""
+    """Ask a controller for its replica identity, in order to add it to a group."""
 
 
 @frozen
 class JoinReply:
-    """Replica identity of a controller."""
+    """Replica identity of a controller, and whether it belongs to a group."""
 
     member: Member
     in_group: bool
@@ -232,7 +253,7 @@
 
 @frozen
 class BootstrapRequest:
-    """Start a new group with these members; every member gets the same."""
+    """Start a new group; every member gets the same list of members."""
 
     members: Members
 
@@ -246,14 +267,14 @@
 
 @frozen
 class WhyRequest:
-    """Ask a router how it chose the target of a request."""
+    """Ask a router for its routing decision on a request."""
 
     request_id: str
 
 
 @frozen
 class WhyLine:
-    """One target that a router considered."""
+    """A target that a router considered for a request."""
 
     target: str
     chosen: bool
@@ -263,7 +284,7 @@
 
 @frozen
 class WhyReply:
-    """The considered targets, best first; empty if unknown here."""
+    """Targets considered for a request, best first; empty if the router has none."""
 
     request_id: str
     organisation: str
@@ -274,15 +295,16 @@
 
 @frozen
 class VouchRequest:
-    """Follower's question how far the log is known to be committed."""
+    """Ask the leader for its commit index, to confirm a follower's state as current."""
 
 
 @frozen
 class VouchReply:
-    """Leader's answer.
+    """Leader's commit index and the age of its lease.
 
-    Whoever has applied ``commit`` holds a state that was current ``age_ms``
-    before this answer; negative if the leader has no lease.
+    A replica that has applied ``commit`` holds a state that was current ``age_ms``
+    milliseconds before this answer. ``age_ms`` is negative if the leader has no
+    lease.
     """
 
     commit: int
@@ -291,6 +313,6 @@
 
 @frozen
 class MemberChangeReply:
-    """Members after the change."""
+    """Members of the group after the change."""
 
     members: Members
--- a/berylnotch/control/records.py
+++ b/berylnotch/control/records.py
@@ -1,4 +1,4 @@
-"""Records of the control state's snapshots."""
+"""Records in snapshots of the control state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @frozen
 class KeyBlock:
-    """Keys of one organisation; ``key_hashes`` are joined in the same order."""
+    """Keys of an organisation; ``key_hashes`` is concatenated in ``key_ids`` order."""
 
     organisation: str
     key_ids: tuple[str, ...]
@@ -27,7 +27,7 @@
 class StateHeader:
     """First record of a state's snapshot.
 
-    ``view_records`` tells how many of the next records belong to the view.
+    ``view_records`` is the number of records after this one that belong to the view.
     """
 
     index: int
@@ -39,7 +39,7 @@
 
 @frozen
 class KeyTimes:
-    """When keys were given, in Unix milliseconds."""
+    """Unix times in milliseconds at which keys were added."""
 
     key_ids: tuple[str, ...]
     given_ms: tuple[int, ...]
@@ -47,7 +47,7 @@
 
 @frozen
 class AuditBlock:
-    """Encoded `AuditRecord` with the fields that they are found by."""
+    """Encoded `AuditRecord` instances with the fields that index them."""
 
     indexes: tuple[int, ...]
     change_ids: tuple[str, ...]
@@ -56,7 +56,7 @@
 
 @frozen
 class RolloutRecord:
-    """Weights version that a service's engines shall hold."""
+    """Weights version to which a service's engines are brought."""
 
     service: str
     version: str
@@ -69,8 +69,8 @@
 class OrderRecord:
     """Newest order to an engine.
 
-    ``finished_ms`` is 0 while it runs. ``failures`` counts the orders of this
-    version that failed in a row.
+    ``finished_ms`` is 0 while the order runs. ``failures`` is the number of
+    consecutive orders of this version that failed.
     """
 
     target: str
--- a/berylnotch/control/snapshot.py
+++ b/berylnotch/control/snapshot.py
@@ -1,7 +1,7 @@
-"""Byte format of snapshots: a list of encoded records, compressed.
+"""Binary format of snapshots: a compressed sequence of encoded records.
 
-A snapshot is the four bytes of `MAGIC` and a zlib stream of records, each
-preceded by its length as four bytes, most significant first.
+A snapshot is the four bytes of `MAGIC` followed by a zlib stream of records. Each
+record has a length prefix of four bytes in big-endian order.
 """
 
 from __future__ import annotations
@@ -15,49 +15,61 @@
 from berylnotch.errors import CodecError
 from berylnotch.transport.codec import decode, encode
 
-#: First bytes of a snapshot; the last one is the format's version.
+#: First bytes of a snapshot; the last byte is the format version.
 MAGIC = b"BNS\x01"
-#: Largest snapshot after decompression, in bytes.
+#: Maximum size of a decompressed snapshot, in bytes.
 MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024
 
-_LENGTH = struct.Struct(">I")
-# Most of the size is random hashes, which a higher level does not make smaller.
-_LEVEL = 1
+_LENGTH_PREFIX = struct.Struct(">I")
+# Most of a snapshot consists of random hashes, which a higher level does not compress
+# any further.
+_COMPRESSION_LEVEL = 1
 
 
-def pack(records: Iterable[object]) -> bytes:
-    """Turn records into a snapshot."""
-    compressor = zlib.compressobj(_LEVEL)
+def encode_snapshot(records: Iterable[object]) -> bytes:
+    """Encode records as a snapshot."""
+    compressor = zlib.compressobj(_COMPRESSION_LEVEL)
     parts = [MAGIC]
     for record in records:
         data = encode(record)
-        parts.append(compressor.compress(_LENGTH.pack(len(data)) + data))
+        parts.append(compressor.compress(_LENGTH_PREFIX.pack(len(data)) + data))
     parts.append(compressor.flush())
     return b"".join(parts)
 
 
-def unpack(data: bytes) -> tuple[Any, ...]:
-    """Turn a snapshot into its records.
+def decode_snapshot(data: bytes) -> tuple[Any, ...]:
+    """Decode the records of a snapshot.
 
     Raises
     ------
     SnapshotError
-        If it is damaged, too large or of an unknown format.
+        If the snapshot is damaged, too large or has an unknown format.
     """
     if data[: len(MAGIC)] != MAGIC:
-        raise SnapshotError("the snapshot has an unknown format")
-    plain = _decompress(data[len(MAGIC) :])
+        raise SnapshotError(
+            f"unknown snapshot format: expected {MAGIC!r}, got {data[: len(MAGIC)]!r}"
+        )
+    decompressed = _decompress(data[len(MAGIC) :])
     records = []
     offset = 0
-    while offset < len(plain):
-        start = offset + _LENGTH.size
-        if start > len(plain):
-            raise SnapshotError("the snapshot is cut off")
-        offset = start + _LENGTH.unpack_from(plain, start - _LENGTH.size)[0]
-        if offset > len(plain):
-            raise SnapshotError("the snapshot is cut off")
+    while offset < len(decompressed):
+        start = offset + _LENGTH_PREFIX.size
+        if start > len(decompressed):
+            raise SnapshotError(
+                "snapshot truncated: length prefix ends "
+                f"at byte {start} of {len(decompressed)}"
+            )
+        offset = (
+            start
+            + _LENGTH_PREFIX.unpack_from(decompressed, start - _LENGTH_PREFIX.size)[0]
+        )
+        if offset > len(decompressed):
+            raise SnapshotError(
+                "snapshot truncated: record ends "
+                f"at byte {offset} of {len(decompressed)}"
+            )
         try:
-            records.append(decode(plain[start:offset]))
+            records.append(decode(decompressed[start:offset]))
         except CodecError as error:
             raise SnapshotError(str(error)) from error
     return tuple(records)
@@ -66,11 +78,11 @@
 def _decompress(data: bytes) -> bytes:
     decompressor = zlib.decompressobj()
     try:
-        plain = decompressor.decompress(data, MAX_SNAPSHOT_BYTES)
+        decompressed = decompressor.decompress(data, MAX_SNAPSHOT_BYTES)
     except zlib.error as error:
-        raise SnapshotError(f"the snapshot is damaged: {error}") from error
+        raise SnapshotError(f"snapshot cannot be decompressed: {error}") from error
     if decompressor.unconsumed_tail:
-        raise SnapshotError(f"the snapshot is over {MAX_SNAPSHOT_BYTES} bytes")
+        raise SnapshotError(f"decompressed snapshot exceeds {MAX_SNAPSHOT_BYTES} bytes")
     if not decompressor.eof or decompressor.unused_data:
-        raise SnapshotError("the snapshot is cut off or followed by other bytes")
-    return plain
+        raise SnapshotError("compressed snapshot is truncated or has trailing bytes")
+    return decompressed
--- a/berylnotch/control/times.py
+++ b/berylnotch/control/times.py
@@ -1,4 +1,4 @@
-"""Times for people."""
+"""Formatting of times for operators."""
 
 from __future__ import annotations
 
--- a/berylnotch/keys/__init__.py
+++ b/berylnotch/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' keys: hashing, lookup and freshness."""
+"""Callers' keys: generation, hashing, lookup and the freshness lease."""
--- a/berylnotch/keys/errors.py
+++ b/berylnotch/keys/errors.py
@@ -6,4 +6,4 @@
 
 
 class KeyExistsError(ControlError):
-    """The key or its id is held already, or was withdrawn."""
+    """The key or its ID exists already."""
--- a/berylnotch/keys/freshness.py
+++ b/berylnotch/keys/freshness.py
@@ -1,4 +1,4 @@
-"""Freshness of a copy of the control state."""
+"""Lease on the freshness of a replicated copy of the control state."""
 
 from __future__ import annotations
 
@@ -6,42 +6,47 @@
 
 
 class Freshness:
-    """Lease under which a router authorises by its copy of the keys.
+    """Lease during which a copy of the control state may be used.
+
+    A router authorises callers by its copy of the keys only while the lease is valid.
 
     Parameters
     ----------
     lease_s : float
-        How long after the leader vouched for the copy it may be used.
+        Time for which the copy may be used after the moment at which the leader
+        confirmed that it was current, in seconds.
     """
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s
-        self._vouched_at: float | None = None
+        self._confirmed_at: float | None = None
 
     def observe(self, sent_at: float, age_ms: int) -> None:
-        """Note an answer, after its events were applied.
+        """Record an answer whose events have been applied.
 
         Parameters
         ----------
         sent_at : float
-            When the request was *sent*, so that time on the way counts as age.
+            Monotonic time in seconds at which the request was *sent*, so that the
+            round trip counts towards the age.
         age_ms : int
-            Bound of the answer's age; negative if no leader vouched for it.
+            Upper bound of the age of the state at the answer, in milliseconds;
+            negative if no leader has confirmed it.
         """
         if age_ms < 0:
             return
-        vouched_at = sent_at - age_ms / 1000
-        if self._vouched_at is None or vouched_at > self._vouched_at:
-            self._vouched_at = vouched_at
+        confirmed_at = sent_at - age_ms / 1000
+        if self._confirmed_at is None or confirmed_at > self._confirmed_at:
+            self._confirmed_at = confirmed_at
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the copy may be used at ``now``."""
-        if self._vouched_at is None:
+        """Tell whether the lease is valid at ``now`` (monotonic time in seconds)."""
+        if self._confirmed_at is None:
             return False
-        return now - self._vouched_at < self._lease_s
+        return now - self._confirmed_at < self._lease_s
 
     def age_ms(self, now: float) -> int:
-        """Return the copy's age, rounded up, or -1 if nobody vouched yet."""
-        if self._vouched_at is None:
+        """Return the copy's age in ms, rounded up, or -1 if it was never confirmed."""
+        if self._confirmed_at is None:
             return -1
-        return max(0, math.ceil((now - self._vouched_at) * 1000))
+        return max(0, math.ceil((now - self._confirmed_at) * 1000))
--- a/berylnotch/keys/keyring.py
+++ b/berylnotch/keys/keyring.py
@@ -1,4 +1,4 @@
-"""Callers' keys, held as keyed hashes."""
+"""Callers' keys, stored as keyed hashes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from berylnotch.keys.errors import KeyExistsError
 
-#: Prefix by which secret scanners and people know a key.
+#: Prefix by which secret scanners and people recognise a key.
 KEY_PREFIX = "bn-"
-#: Random bytes of a key's secret part.
+#: Number of random bytes in the secret part of a key.
 KEY_BYTES = 32
-#: Random bytes of a key's id.
+#: Number of random bytes in a key ID.
 KEY_ID_BYTES = 6
 #: Length of a keyed hash, in bytes.
 KEY_HASH_BYTES = 32
@@ -23,7 +23,7 @@
 
 @frozen
 class NewKey:
-    """A key just made; only the caller keeps ``key``."""
+    """A generated key; ``key`` itself is given to the caller and not stored."""
 
     key_id: str
     key: str
@@ -31,7 +31,7 @@
 
 @frozen
 class HeldKey:
-    """An accepted key."""
+    """An accepted key, identified by its keyed hash."""
 
     key_id: str
     organisation: str
@@ -39,28 +39,28 @@
 
 
 def new_key() -> NewKey:
-    """Make a random key."""
+    """Generate a random key."""
     key_id = secrets.token_hex(KEY_ID_BYTES)
     return NewKey(key_id, f"{KEY_PREFIX}{key_id}-{secrets.token_urlsafe(KEY_BYTES)}")
 
 
 def digest_key(key: str) -> bytes:
-    """Return what an operator's tool sends instead of the key.
+    """Return the digest that the operators' tool sends instead of the key.
 
-    A key is random and long, so that its plain digest does not give it away.
+    Keys are long and random, so that a key cannot be found from its unkeyed digest.
     """
     data = b"caller-key\0" + key.encode("utf-8", "surrogatepass")
     return hashlib.sha256(data).digest()
 
 
 def hash_digest(secret: bytes, digest: bytes) -> bytes:
-    """Return the keyed hash under which the key with this digest is stored.
+    """Return the keyed hash that is stored for the key with this digest.
 
     Parameters
     ----------
     secret : bytes
-        Secret that the controllers and routers share. Who holds the stored
-        hash or the digest alone cannot tell whether they belong together.
+        Secret that the controllers and routers share. Without it, a stored hash
+        cannot be matched with a digest.
     digest : bytes
         Result of `digest_key`.
     """
@@ -68,12 +68,12 @@
 
 
 def hash_key(secret: bytes, key: str) -> bytes:
-    """Return the keyed hash of a key as a caller sends it."""
+    """Return the keyed hash of a key in the form that a caller sends."""
     return hash_digest(secret, digest_key(key))
 
 
 class Keyring:
-    """Accepted keys by hash and by id."""
+    """Accepted keys, indexed by hash and by ID."""
 
     def __init__(self) -> None:
         self._by_hash: dict[bytes, HeldKey] = {}
@@ -85,33 +85,33 @@
     def __iter__(self) -> Iterator[HeldKey]:
         return iter(self._by_id.values())
 
-    def give(self, key: HeldKey) -> None:
+    def add(self, key: HeldKey) -> None:
         """Accept a key.
 
         Raises
         ------
         KeyExistsError
-            If the id or the hash is held already.
+            If a key with this ID or hash exists already.
         """
         if key.key_id in self._by_id:
             raise KeyExistsError(f"key {key.key_id} exists already")
         if key.key_hash in self._by_hash:
-            held = self._by_hash[key.key_hash]
-            raise KeyExistsError(f"the same key is held as {held.key_id}")
+            existing = self._by_hash[key.key_hash]
+            raise KeyExistsError(f"the same key exists as {existing.key_id}")
         self._by_id[key.key_id] = key
         self._by_hash[key.key_hash] = key
 
-    def withdraw(self, key_id: str) -> HeldKey | None:
-        """Stop accepting a key; return it, or None if it is not held."""
+    def remove(self, key_id: str) -> HeldKey | None:
+        """Stop accepting a key; return it, or None if there is no such key."""
         key = self._by_id.pop(key_id, None)
         if key is not None:
             del self._by_hash[key.key_hash]
         return key
 
-    def find(self, key_hash: bytes) -> HeldKey | None:
-        """Return the key with this hash."""
+    def find_by_hash(self, key_hash: bytes) -> HeldKey | None:
+        """Return the key with this hash, or None."""
         return self._by_hash.get(key_hash)
 
-    def get(self, key_id: str) -> HeldKey | None:
-        """Return the key with this id."""
+    def find_by_id(self, key_id: str) -> HeldKey | None:
+        """Return the key with this ID, or None."""
         return self._by_id.get(key_id)
--- a/berylnotch/ledger/__init__.py
+++ b/berylnotch/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Claims that let a non-idempotent request run at most once."""
+"""Ledger of claims, by which a non-idempotent request runs at most once."""
--- a/berylnotch/ledger/errors.py
+++ b/berylnotch/ledger/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the ledger of non-idempotent requests."""
+"""Errors of the claim ledger."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     Parameters
     ----------
     status : Status
-        Status to answer with.
+        Status of the command's result.
     message : str
-        What is wrong.
+        Reason of the refusal.
     claim : ClaimRecord or None, default=None
-        The claim as it stands, if the asker may see it.
+        Current claim, if it may be shown to the sender of the command.
     """
 
     def __init__(
--- a/berylnotch/ledger/ledger.py
+++ b/berylnotch/ledger/ledger.py
@@ -1,4 +1,4 @@
-"""Ledger of non-idempotent requests: each claim runs at most once."""
+"""Ledger of claims on non-idempotent requests, each of which runs at most once."""
 
 from __future__ import annotations
 
@@ -17,78 +17,80 @@
 )
 from berylnotch.ledger.errors import ClaimError
 
-#: How long a closed claim is kept, in milliseconds (24 h).
-CLAIM_KEEP_MS = 24 * 3600 * 1000
-#: Most claims held at once; beyond it new ones are refused as not run.
+#: Retention period of a closed claim, in milliseconds (24 h).
+CLAIM_RETENTION_MS = 24 * 3600 * 1000
+#: Maximum number of stored claims; above it, new claims are refused and their
+#: requests do not run.
 MAX_CLAIMS = 100_000
-#: Largest answer that is stored with a claim, in bytes.
+#: Maximum size of an answer that is stored with a claim, in bytes.
 MAX_BODY_BYTES = 64 * 1024
-#: Most bytes of answers held at once; beyond it the oldest answers go.
+#: Maximum total size of the stored answers, in bytes; the oldest are evicted first.
 MAX_BODIES_BYTES = 16 * 1024 * 1024
-#: Longest idempotency key, in characters.
-MAX_KEY_CHARACTERS = 255
+#: Maximum length of an idempotency key, in characters.
+MAX_IDEMPOTENCY_KEY_CHARACTERS = 255
 
 _OUTCOMES = (ClaimState.DONE, ClaimState.NOT_RUN, ClaimState.UNKNOWN)
 
-_Key = tuple[str, str]
+_ClaimKey = tuple[str, str]
 
 
 def router_id(vm: str, incarnation: str) -> str:
-    """Return the ``router`` of a claim, ``VM/INCARNATION``."""
+    """Return the identity of a router in a claim, ``VM/INCARNATION``."""
     return f"{vm}/{incarnation}"
 
 
 class Ledger:
-    """Claims by organisation and idempotency key."""
+    """Claims, indexed by organisation and idempotency key."""
 
     def __init__(self) -> None:
-        self._claims: dict[_Key, ClaimRecord] = {}
-        # Claims with a stored answer, oldest outcome first.
-        self._bodies: dict[_Key, int] = {}
-        self._bodies_bytes = 0
-        self._running: dict[_Key, ClaimRecord] = {}
+        self._claims: dict[_ClaimKey, ClaimRecord] = {}
+        # Size of each stored answer in bytes, in the order in which they were stored.
+        self._body_bytes: dict[_ClaimKey, int] = {}
+        self._total_body_bytes = 0
+        self._running: dict[_ClaimKey, ClaimRecord] = {}
 
     def __len__(self) -> int:
         return len(self._claims)
 
     def __iter__(self) -> Iterator[ClaimRecord]:
-        # Answers are evicted in the order of their outcomes, so that a restored
-        # ledger has to learn them in this order.
+        # Answers are evicted in the order in which their outcomes were recorded. A
+        # restored ledger evicts the same answers only if it stores them in this order.
         for key in sorted(self._claims):
-            if key not in self._bodies:
+            if key not in self._body_bytes:
                 yield self._claims[key]
-        for key in self._bodies:
+        for key in self._body_bytes:
             yield self._claims[key]
 
     @property
     def running(self) -> tuple[ClaimRecord, ...]:
-        """Claims without an outcome, oldest first."""
+        """Claims in state RUNNING, oldest first."""
         return tuple(self._running.values())
 
     def find(self, organisation: str, idempotency_key: str) -> ClaimRecord | None:
-        """Return a claim."""
+        """Return the claim with an idempotency key, or None if there is none."""
         return self._claims.get((organisation, idempotency_key))
 
     def open(self, at_ms: int, command: OpenClaim) -> ClaimRecord:
-        """Claim the only run of a request.
+        """Claim the right to run a request once.
 
         Returns
         -------
         ClaimRecord
-            The running claim of this attempt; the attempt may run.
+            The RUNNING claim of this attempt, which permits it to run the request.
 
         Raises
         ------
         ClaimError
-            With status EXISTS and the claim if the request ran, runs or may
-            have run; CONFLICT if the key belongs to another request; INVALID if
-            the claim cannot be stored.
+            With status EXISTS and the claim if the request ran, is running or may
+            have run, or this attempt is closed as NOT_RUN; with CONFLICT if the
+            idempotency key belongs to another request; with INVALID if the claim
+            cannot be stored.
         """
         claim = self.find(command.organisation, command.idempotency_key)
         if claim is None:
-            self._check_room(command)
+            self._check_new_claim(command)
         else:
-            _check_reopen(claim, command)
+            _check_existing_claim(claim, command)
             if claim.state is ClaimState.RUNNING:
                 return claim
         opened = ClaimRecord(
@@ -104,16 +106,17 @@
         return opened
 
     def close(self, at_ms: int, command: CloseClaim) -> ClaimRecord:
-        """Record the outcome of a run.
+        """Record the outcome of a claimed run.
 
-        An outcome that comes after the router was taken for lost replaces
-        UNKNOWN, because the attempt itself knows best. A settled claim stays.
+        An outcome that arrives after the router was considered lost replaces UNKNOWN,
+        because the attempt itself has the most reliable information. A claim that an
+        operator has settled is not changed.
 
         Raises
         ------
         ClaimError
-            If another attempt holds the claim, it is closed with another
-            outcome, or the state is no outcome.
+            If the claim does not exist, belongs to another attempt or is closed
+            with another outcome, or if the command's state is not an outcome.
         """
         claim = self._get(command.organisation, command.idempotency_key)
         if command.state not in _OUTCOMES:
@@ -139,13 +142,13 @@
         return closed
 
     def settle(self, at_ms: int, command: SettleClaim) -> ClaimRecord:
-        """Record an operator's finding on an unknown outcome.
+        """Record the outcome that an operator found for a claim in state UNKNOWN.
 
         Raises
         ------
         ClaimError
-            If there is no such claim, its outcome is known, or the state is
-            neither DONE nor NOT_RUN.
+            If the claim does not exist or is not UNKNOWN, or if the command's state
+            is neither DONE nor NOT_RUN.
         """
         claim = self._get(command.organisation, command.idempotency_key)
         if command.state not in (ClaimState.DONE, ClaimState.NOT_RUN):
@@ -159,63 +162,67 @@
         self._store(settled)
         return settled
 
-    def lose(self, at_ms: int, vm: str, incarnation: str, lost: bool) -> int:
-        """Turn the running claims of lost routers into UNKNOWN.
+    def mark_claims_unknown(
+        self, at_ms: int, vm: str, incarnation: str, is_lost: bool
+    ) -> int:
+        """Change the RUNNING claims of lost routers to UNKNOWN.
 
         Parameters
         ----------
         at_ms : int
-            Time of the observation.
+            Unix time of the observation, in milliseconds.
         vm : str
-            Name of the VM.
+            Name of the router's VM.
         incarnation : str
-            Incarnation that was observed; if empty, any.
-        lost : bool
-            Whether this incarnation is lost; otherwise it is alive and all
-            others of the VM are lost.
+            Incarnation that was observed; if empty, all incarnations.
+        is_lost : bool
+            Whether this incarnation is lost; otherwise it is alive and all other
+            incarnations of the VM are lost.
 
         Returns
         -------
         int
-            How many claims became UNKNOWN.
+            Number of claims that became UNKNOWN.
         """
-        if not lost and not incarnation:
+        if not is_lost and not incarnation:
             return 0
         router = router_id(vm, incarnation)
-        found = [
+        lost_claims = [
             claim
             for claim in self._running.values()
             if claim.router.startswith(f"{vm}/")
-            and (not incarnation or (claim.router == router) is lost)
+            and (not incarnation or (claim.router == router) is is_lost)
         ]
-        for claim in found:
+        for claim in lost_claims:
             self._store(evolve(claim, state=ClaimState.UNKNOWN, closed_ms=at_ms))
-        return len(found)
+        return len(lost_claims)
 
     def expire(self, before_ms: int) -> int:
-        """Forget claims that were closed before a time.
+        """Delete claims that were closed before a time.
 
-        An unknown outcome is kept until an operator settles it. A claim that
-        has run since before that time becomes UNKNOWN.
+        A claim in state UNKNOWN is kept until an operator settles it. A claim that was
+        opened before the time and is still RUNNING becomes UNKNOWN.
 
         Returns
         -------
         int
-            How many claims were forgotten.
+            Number of deleted claims.
         """
-        old = [claim for claim in self._claims.values() if claim.opened_ms < before_ms]
-        forgotten = 0
-        for claim in old:
+        opened_before = [
+            claim for claim in self._claims.values() if claim.opened_ms < before_ms
+        ]
+        deleted = 0
+        for claim in opened_before:
             if claim.state is ClaimState.RUNNING:
                 unknown = evolve(claim, state=ClaimState.UNKNOWN, closed_ms=before_ms)
                 self._store(unknown)
             elif claim.state is not ClaimState.UNKNOWN and claim.closed_ms < before_ms:
-                self._forget(claim)
-                forgotten += 1
-        return forgotten
+                self._delete(claim)
+                deleted += 1
+        return deleted
 
     def restore(self, claim: ClaimRecord) -> None:
-        """Take a claim over from a snapshot."""
+        """Store a claim of a snapshot."""
         self._store(claim)
 
     def _get(self, organisation: str, idempotency_key: str) -> ClaimRecord:
@@ -224,40 +231,44 @@
             raise ClaimError(Status.NOT_FOUND, "there is no such claim")
         return claim
 
-    def _check_room(self, command: OpenClaim) -> None:
-        if not 1 <= len(command.idempotency_key) <= MAX_KEY_CHARACTERS:
-            message = f"an idempotency key has 1 to {MAX_KEY_CHARACTERS} characters"
+    def _check_new_claim(self, command: OpenClaim) -> None:
+        if not 1 <= len(command.idempotency_key) <= MAX_IDEMPOTENCY_KEY_CHARACTERS:
+            message = (
+                "an idempotency key has "
+                f"1 to {MAX_IDEMPOTENCY_KEY_CHARACTERS} characters"
+            )
             raise ClaimError(Status.INVALID, message)
         if len(self._claims) >= MAX_CLAIMS:
             raise ClaimError(Status.INVALID, f"{MAX_CLAIMS} claims are held already")
 
     def _store(self, claim: ClaimRecord) -> None:
-        # Few organisations and routers share many claims.
+        # Many claims have the same organisation and router. Interning keeps one copy of
+        # each name.
         organisation, router = intern(claim.organisation), intern(claim.router)
         claim = evolve(claim, organisation=organisation, router=router)
         key = (organisation, claim.idempotency_key)
-        self._bodies_bytes -= self._bodies.pop(key, 0)
+        self._total_body_bytes -= self._body_bytes.pop(key, 0)
         self._claims[key] = claim
         if claim.state is ClaimState.RUNNING:
             self._running[key] = claim
         else:
             self._running.pop(key, None)
         if claim.body:
-            self._bodies[key] = len(claim.body)
-            self._bodies_bytes += len(claim.body)
-        while self._bodies_bytes > MAX_BODIES_BYTES:
-            oldest = next(iter(self._bodies))
-            self._bodies_bytes -= self._bodies.pop(oldest)
+            self._body_bytes[key] = len(claim.body)
+            self._total_body_bytes += len(claim.body)
+        while self._total_body_bytes > MAX_BODIES_BYTES:
+            oldest = next(iter(self._body_bytes))
+            self._total_body_bytes -= self._body_bytes.pop(oldest)
             self._claims[oldest] = evolve(self._claims[oldest], body=b"")
 
-    def _forget(self, claim: ClaimRecord) -> None:
+    def _delete(self, claim: ClaimRecord) -> None:
         key = (claim.organisation, claim.idempotency_key)
-        self._bodies_bytes -= self._bodies.pop(key, 0)
+        self._total_body_bytes -= self._body_bytes.pop(key, 0)
         self._running.pop(key, None)
         del self._claims[key]
 
 
-def _check_reopen(claim: ClaimRecord, command: OpenClaim) -> None:
+def _check_existing_claim(claim: ClaimRecord, command: OpenClaim) -> None:
     if claim.fingerprint != command.fingerprint:
         message = "the idempotency key was used for another request"
         raise ClaimError(Status.CONFLICT, message)
--- a/tests/test_control/helpers.py
+++ b/tests/test_control/helpers.py
@@ -1,9 +1,9 @@
-"""Builders that the tests of the control state share."""
+"""Harness and command builders for the tests of the control state."""
 
 from __future__ import annotations
 
 from berylnotch.control.commands import ApplyText, GiveKey, OpenClaim, Proposal
-from berylnotch.control.state import Applied, ControlState
+from berylnotch.control.state import AppliedCommand, ControlState
 from berylnotch.transport.codec import encode
 
 TEXT = """\
@@ -52,28 +52,28 @@
 
 
 class Machine:
-    """A state with a log of what it applied."""
+    """Control state that applies commands at consecutive log indexes and times."""
 
     def __init__(self) -> None:
         self.state = ControlState()
         self.index = 0
         self.at_ms = 1_000_000
 
-    def run(self, command: object, at_ms: int = 0) -> Applied:
+    def run(self, command: object, at_ms: int = 0) -> AppliedCommand:
         self.index += 1
         self.at_ms = at_ms or self.at_ms + 10
         proposal = Proposal(self.at_ms, encode(command))
         return self.state.apply(self.index, proposal)
 
 
-def applied(text: str = TEXT) -> Machine:
-    """Return a machine with a text in force."""
-    machine = Machine()
-    machine.run(ApplyText("c-0", "asha", 0, text))
-    return machine
+def configured_harness(text: str = TEXT) -> Machine:
+    """Return a harness with a fleet configuration in force."""
+    harness = Machine()
+    harness.run(ApplyText("c-0", "asha", 0, text))
+    return harness
 
 
-def key(number: int, organisation: str = "clerks") -> GiveKey:
+def give_key(number: int, organisation: str = "clerks") -> GiveKey:
     key_hash = number.to_bytes(32, "big")
     return GiveKey(f"give-{number}", "asha", f"k{number}", organisation, key_hash)
 
--- a/tests/test_keys/test_keys.py
+++ b/tests/test_keys/test_keys.py
@@ -18,20 +18,20 @@
     assert first.key.encode() not in hash_key(b"a", first.key)
 
 
-def test_keyring():
+def test_keyring_adds_finds_and_removes_keys():
     keyring = Keyring()
     key = HeldKey("k1", "clerks", b"h" * 32)
-    keyring.give(key)
-    for other in (HeldKey("k1", "x", b"i" * 32), HeldKey("k2", "x", b"h" * 32)):
+    keyring.add(key)
+    for duplicate in (HeldKey("k1", "x", b"i" * 32), HeldKey("k2", "x", b"h" * 32)):
         with pytest.raises(KeyExistsError):
-            keyring.give(other)
-    assert keyring.find(b"h" * 32) == key
-    assert keyring.withdraw("k1") == key
-    assert keyring.withdraw("k1") is None
-    assert keyring.find(b"h" * 32) is None
+            keyring.add(duplicate)
+    assert keyring.find_by_hash(b"h" * 32) == key
+    assert keyring.remove("k1") == key
+    assert keyring.remove("k1") is None
+    assert keyring.find_by_hash(b"h" * 32) is None
 
 
-def test_freshness_counts_from_the_request():
+def test_age_counts_from_sending_the_request():
     freshness = Freshness(lease_s=2.0)
     assert freshness.age_ms(10.0) == -1
     assert not freshness.is_fresh(10.0)
@@ -50,16 +50,19 @@
     ),
     st.floats(0, 5),
 )
-def test_never_fresh_longer_than_a_lease_after_the_vouching(answers, wait):
-    """However answers are delayed or mixed, no copy outlives its lease."""
+def test_copy_is_never_fresh_beyond_its_lease(answers, wait_s):
+    """Delayed or reordered answers must not extend the lease of a stale copy."""
     freshness = Freshness(lease_s=2.0)
-    newest, now = -100.0, 0.0
-    for vouched, relayed, back in answers:
-        answered = vouched + relayed
-        # The request was sent at most when the answer was made.
-        sent_at = answered - back
-        freshness.observe(sent_at, int(relayed * 1000) + 1)
-        newest, now = max(newest, vouched), max(now, answered)
-    now += wait
+    newest_confirmed_at, now = -100.0, 0.0
+    for confirmed_at, relay_s, round_trip_s in answers:
+        answered_at = confirmed_at + relay_s
+        # A request is sent no later than it is answered.
+        sent_at = answered_at - round_trip_s
+        freshness.observe(sent_at, int(relay_s * 1000) + 1)
+        newest_confirmed_at, now = (
+            max(newest_confirmed_at, confirmed_at),
+            max(now, answered_at),
+        )
+    now += wait_s
     if freshness.is_fresh(now):
-        assert now - newest < 2.0
+        assert now - newest_confirmed_at < 2.0
