--- a/berylnotch/group/__init__.py
+++ b/berylnotch/group/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers of a fleet that form, repair and move their group by themselves."""
+"""Group of a fleet's controllers: automatic membership changes, messages and state."""
--- a/berylnotch/group/changes.py
+++ b/berylnotch/group/changes.py
@@ -1,4 +1,4 @@
-"""Choice of the next change to the group's members."""
+"""Choice of the next membership change of the controller group."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 @frozen
 class GroupView:
-    """What a leader knows of its group.
+    """The leader's knowledge of its group.
 
     Parameters
     ----------
-    own : str
+    own_replica : str
         Replica id of the leader.
     members : Members
         Membership in force.
     candidates : mapping of str to JoinRequest
-        Fresh requests to join, by replica id.
+        Unexpired requests to join, by replica id.
     silence_s : mapping of str to float
-        Seconds since each other member answered, by replica id.
+        Seconds since the last answer of each other member, by replica id.
     caught_up : frozenset of str
-        Members that hold nearly the whole log.
+        Replica ids of the members that hold nearly the whole log.
     """
 
-    own: str
+    own_replica: str
     members: Members
     candidates: Mapping[str, JoinRequest]
     silence_s: Mapping[str, float]
@@ -40,40 +40,55 @@
 def next_change(view: GroupView, settings: GroupSettings) -> Members | None:
     """Return the members after the change that is due, or None.
 
-    A member whose disk was lost comes back under another replica id at the same
-    address, and its earlier self leaves first. Learners are promoted before silent
-    voters leave, so that the group never gets smaller than it has to.
+    A member that lost its disk asks to join under another replica id from the same
+    address, and its old replica id is removed first. Learners are promoted before
+    silent voters are removed, so that the group never shrinks more than necessary.
     """
-    for change in (_drop_wiped, _promote, _add, _drop_silent):
+    for change in (
+        _remove_wiped_member,
+        _promote_learner,
+        _add_learner,
+        _remove_silent_member,
+    ):
         members = change(view, settings)
         if members is not None:
             return members
     return None
 
 
-def _drop_wiped(view: GroupView, settings: GroupSettings) -> Members | None:
-    addresses = {request.address for request in view.candidates.values()}
+def _remove_wiped_member(view: GroupView, settings: GroupSettings) -> Members | None:
+    """Remove a member that asks to join under another replica id."""
+    candidate_addresses = {request.address for request in view.candidates.values()}
     for member in view.members.members:
-        is_back = member.address in addresses and member.replica not in view.candidates
-        if is_back and member.replica != view.own and _may_drop(view, member):
-            return _without(view.members, member)
+        is_wiped = (
+            member.address in candidate_addresses
+            and member.replica not in view.candidates
+        )
+        if (
+            is_wiped
+            and member.replica != view.own_replica
+            and _can_remove(view, member)
+        ):
+            return _members_without(view.members, member)
     return None
 
 
-def _promote(view: GroupView, settings: GroupSettings) -> Members | None:
+def _promote_learner(view: GroupView, settings: GroupSettings) -> Members | None:
+    """Promote a learner that has caught up."""
     for member in view.members.members:
         if member.role is Role.LEARNER and member.replica in view.caught_up:
             promoted = evolve(member, role=Role.VOTER)
-            rest = _without(view.members, member).members
-            return Members((*rest, promoted))
+            others = _members_without(view.members, member).members
+            return Members((*others, promoted))
     return None
 
 
-def _add(view: GroupView, settings: GroupSettings) -> Members | None:
-    known = {member.replica for member in view.members.members}
-    taken = {member.address for member in view.members.members}
+def _add_learner(view: GroupView, settings: GroupSettings) -> Members | None:
+    """Add a candidate as a learner, unless a member has its replica id or address."""
+    member_replicas = {member.replica for member in view.members.members}
+    member_addresses = {member.address for member in view.members.members}
     for replica, request in sorted(view.candidates.items()):
-        if replica not in known and request.address not in taken:
+        if replica not in member_replicas and request.address not in member_addresses:
             learner = Member(
                 request.name,
                 replica,
@@ -85,37 +100,43 @@
     return None
 
 
-def _drop_silent(view: GroupView, settings: GroupSettings) -> Members | None:
-    count = len(voters(view.members))
+def _remove_silent_member(view: GroupView, settings: GroupSettings) -> Members | None:
+    """Remove a learner or voter that has not answered for too long."""
+    voter_count = len(voters(view.members))
     for member in view.members.members:
-        if member.replica == view.own:
+        if member.replica == view.own_replica:
             continue
         silence_s = view.silence_s.get(member.replica, 0.0)
         if member.role is Role.LEARNER:
             if silence_s > settings.replace_after_s:
-                return _without(view.members, member)
+                return _members_without(view.members, member)
             continue
-        # An even group survives no more failures than with one voter fewer.
-        is_spare = count % 2 == 0 and count > settings.min_voters
+        # An even number of voters tolerates no more failures than one voter fewer.
+        is_spare = voter_count % 2 == 0 and voter_count > settings.min_voters
         limit_s = settings.replace_after_s if is_spare else settings.remove_after_s
-        if silence_s > limit_s and count > settings.min_voters:
-            if _may_drop(view, member):
-                return _without(view.members, member)
+        if silence_s > limit_s and voter_count > settings.min_voters:
+            if _can_remove(view, member):
+                return _members_without(view.members, member)
     return None
 
 
-def _may_drop(view: GroupView, member: Member) -> bool:
-    """Tell whether the voters that stay and answer are a majority of those left."""
+def _can_remove(view: GroupView, member: Member) -> bool:
+    """Tell whether a majority of the remaining voters answers.
+
+    A learner can always be removed.
+    """
     if member.role is Role.LEARNER:
         return True
-    left = voters(view.members) - {member.replica}
-    answering = {r for r in left if view.silence_s.get(r, 0.0) < _ANSWERING_S}
-    return len(answering) * 2 > len(left)
+    remaining = voters(view.members) - {member.replica}
+    answering = {
+        r for r in remaining if view.silence_s.get(r, 0.0) < _MAX_ANSWERING_SILENCE_S
+    }
+    return len(answering) * 2 > len(remaining)
 
 
-def _without(members: Members, member: Member) -> Members:
+def _members_without(members: Members, member: Member) -> Members:
     return Members(tuple(m for m in members.members if m.replica != member.replica))
 
 
-#: Silence, in seconds, up to which a voter counts as answering: one lease.
-_ANSWERING_S = 0.8
+#: Seconds without an answer below which a voter counts as answering: one lease.
+_MAX_ANSWERING_SILENCE_S = 0.8
--- a/berylnotch/group/columns.py
+++ b/berylnotch/group/columns.py
@@ -1,8 +1,8 @@
-"""Compact forms of what the leader sends to every router several times a second.
+"""Compact encodings of the messages that the leader sends to every router.
 
-Targets are named by small numbers that the leader tells with its table of targets.
-The sums of loads are columns over these numbers, notes of prompts are records of a
-fixed size.
+The leader sends these messages several times a second. They refer to targets by small
+numbers, which the leader assigns and sends with its target updates. Load sums are
+columns indexed by these numbers. Prompt notes are records of a fixed size.
 """
 
 from __future__ import annotations
@@ -24,85 +24,95 @@
     TargetsUpdate,
 )
 
-#: Unit of token counts in notes, in tokens; an engine's memory goes by blocks of 16.
+#: Unit of token counts in notes, in tokens; engines allocate their KV cache in blocks
+#: of 16 tokens.
 TOKEN_UNIT = 16
 
-#: Steps in which a column of unread tokens distinguishes a doubling: each value is
-#: within 2.2% of what was summed up, from `TOKEN_UNIT` to about 980,000 tokens.
-STEPS_A_DOUBLING = 16
+#: Steps of the logarithmic scale of unread tokens for each doubling. From `TOKEN_UNIT`
+#: to about 980,000 tokens, each decoded value is within 2.2% of the encoded sum.
+STEPS_PER_DOUBLING = 16
 
-#: Largest value of a byte and of two.
-_BYTE, _WORD = 0xFF, 0xFFFF
+#: Largest value of one unsigned byte and of two.
+_MAX_UINT8, _MAX_UINT16 = 0xFF, 0xFFFF
 
-#: Numbers that stand for a store of the same message, not for a target.
-_FIRST_STORE = 0xFF00
+#: First of the numbers that refer to a store listed in the same message instead of a
+#: target.
+_FIRST_STORE_NUMBER = 0xFF00
 
-#: Prompt, holder, shared tokens, own tokens, unread tokens, whether it is ready.
-_NOTE = struct.Struct("<IHHHHB")
+#: Fields of a note: prompt, number of the holder, shared tokens, own tokens, unread
+#: tokens, whether the prompt is ready. Token counts are in `TOKEN_UNIT`.
+_NOTE_STRUCT = struct.Struct("<IHHHHB")
 
-#: A numbering that no leader has.
+#: Numbering of a router that knows no numbers; no leader uses it.
 NO_NUMBERING = 0
 
 
 class TargetNumbers:
-    """Numbers that a leader gives to the targets which it lists."""
+    """Numbers that a leader assigns to its listed targets."""
 
     def __init__(self) -> None:
-        #: Distinguishes the numbers of this leader from those of others.
+        #: Random identity that distinguishes this leader's numbers from other leaders'.
         self.numbering = random.randint(NO_NUMBERING + 1, 2**32 - 1)
         self._numbers: dict[str, int] = {}
         self._free: list[int] = []
 
     @property
     def count(self) -> int:
-        """Numbers in use or free, all of them below this."""
+        """Number of assigned and free numbers; each of them is lower than this."""
         return len(self._numbers) + len(self._free)
 
     def add(self, target_ids: Iterable[str]) -> None:
-        """Give numbers to targets that have none, the lowest free one first."""
+        """Assign numbers to targets that have none, the lowest free number first."""
         for target_id in target_ids:
             if target_id not in self._numbers:
                 number = heapq.heappop(self._free) if self._free else self.count
                 self._numbers[target_id] = number
 
     def keep(self, target_ids: Iterable[str]) -> None:
-        """Give numbers to these targets, and free those of all others."""
+        """Assign numbers to these targets, and free the numbers of all others."""
         listed = set(target_ids)
         for target_id in self._numbers.keys() - listed:
             heapq.heappush(self._free, self._numbers.pop(target_id))
         self.add(listed)
 
     def number(self, target_id: str) -> int | None:
-        """Return a target's number, None if it is not listed."""
+        """Return a target's number, None if it has none.
+
+        Numbers in the range of the stores cannot be sent, so None is returned for
+        these too.
+        """
         number = self._numbers.get(target_id)
-        return number if number is None or number < _FIRST_STORE else None
+        return number if number is None or number < _FIRST_STORE_NUMBER else None
 
     def told(self, update: TargetsUpdate) -> TargetsUpdate:
-        """Return an update of targets with their numbers."""
+        """Return an update with the numbers of its targets."""
         numbers = tuple(self._numbers[e.target.target_id] for e in update.targets)
         return evolve(update, numbering=self.numbering, numbers=numbers)
 
 
 class NumberedTargets:
-    """What a router knows of the leader's numbers."""
+    """Targets of the leader's numbers, as known to a router."""
 
     def __init__(self) -> None:
         self._numbering = NO_NUMBERING
         self._names: dict[int, str] = {}
 
     def take(self, update: TargetsUpdate) -> None:
-        """Learn the numbers of targets."""
+        """Store the numbers of an update's targets.
+
+        Earlier numbers are discarded if the numbering changed or the update is whole.
+        """
         if update.numbering != self._numbering or update.is_whole:
             self._numbering, self._names = update.numbering, {}
         for number, entry in zip(update.numbers, update.targets, strict=True):
             self._names[number] = entry.target.target_id
 
     def loads(self, columns: LoadColumns) -> LoadsUpdate | None:
-        """Read sums of loads, None if they go by numbers that were not told."""
+        """Decode load sums; return None if their numbering is unknown."""
         if columns.numbering != self._numbering:
             return None
         loads = tuple(
-            TargetLoad(self._names[number], requests, _tokens(step))
+            TargetLoad(self._names[number], requests, _decode_tokens(step))
             for number, (requests, step) in enumerate(
                 zip(columns.requests, columns.unread, strict=True)
             )
@@ -112,11 +122,11 @@
         return LoadsUpdate(loads, tuple(filter(None, suspects)))
 
     def notes(self, records: NoteRecords) -> tuple[PromptNote, ...]:
-        """Read notes of prompts, without those on targets that are unknown."""
+        """Decode prompt notes, without those of unknown targets."""
         names = self._names if records.numbering == self._numbering else {}
-        stores = dict(enumerate(records.stores, start=_FIRST_STORE))
+        stores = dict(enumerate(records.stores, start=_FIRST_STORE_NUMBER))
         notes = []
-        for fields in _NOTE.iter_unpack(records.notes):
+        for fields in _NOTE_STRUCT.iter_unpack(records.notes):
             prompt, number, shared, own, unread, is_ready = fields
             holder = stores.get(number) or names.get(number)
             if holder:
@@ -136,13 +146,13 @@
 
 
 def load_columns(update: LoadsUpdate, numbers: TargetNumbers) -> LoadColumns:
-    """Return sums of loads by number, without those of targets that are not listed."""
+    """Encode load sums as columns, without those of unlisted targets."""
     requests, unread = bytearray(numbers.count), bytearray(numbers.count)
     for load in update.loads:
         number = numbers.number(load.target_id)
         if number is not None:
-            requests[number] = min(_BYTE, load.requests)
-            unread[number] = _step(load.unread)
+            requests[number] = min(_MAX_UINT8, load.requests)
+            unread[number] = _encode_tokens(load.unread)
     suspects = (numbers.number(target_id) for target_id in update.suspects)
     return LoadColumns(
         numbers.numbering,
@@ -153,52 +163,58 @@
 
 
 def note_records(notes: Iterable[PromptNote], numbers: TargetNumbers) -> NoteRecords:
-    """Return notes as records, without those on targets that are not listed."""
+    """Encode prompt notes as records, without those of unlisted targets."""
     stores: dict[str, int] = {}
     records = bytearray()
     for note in notes:
         number = numbers.number(note.holder)
         if number is None and is_store(note.holder):
-            number = stores.setdefault(note.holder, _FIRST_STORE + len(stores))
-        if number is None or number > _WORD:
+            number = stores.setdefault(note.holder, _FIRST_STORE_NUMBER + len(stores))
+        if number is None or number > _MAX_UINT16:
             continue
-        records += _NOTE.pack(
+        records += _NOTE_STRUCT.pack(
             note.prompt,
             number,
-            _units(note.tokens),
-            _units(note.own_tokens),
-            _units(note.unread),
+            _count_units(note.tokens),
+            _count_units(note.own_tokens),
+            _count_units(note.unread),
             note.is_ready,
         )
     return NoteRecords(numbers.numbering, bytes(records), tuple(stores))
 
 
 def echo(note: PromptNote) -> tuple[int, str, bool, int]:
-    """Return by what a router knows its own note when it comes back from the leader.
+    """Return the key by which a router recognises its own note from the leader.
 
-    The leader may add own tokens of notes that it did not pass on.
+    Own tokens are no part of the key, since the leader may add the own tokens of notes
+    that it did not forward.
     """
-    return note.prompt, note.holder, note.is_ready, _units(note.unread)
+    return note.prompt, note.holder, note.is_ready, _count_units(note.unread)
 
 
 def is_store(holder: str) -> bool:
-    """Whether the holder of a prompt is a store's address, not a target's identity."""
+    """Tell whether a prompt's holder is a store, so an address with a port.
+
+    Other holders are identities of targets.
+    """
     return ":" in holder
 
 
-def _units(tokens: int) -> int:
-    return min(_WORD, math.ceil(tokens / TOKEN_UNIT))
+def _count_units(tokens: int) -> int:
+    """Return a token count in units, rounded up and limited to two bytes."""
+    return min(_MAX_UINT16, math.ceil(tokens / TOKEN_UNIT))
 
 
-def _step(tokens: int) -> int:
-    """Return a number of tokens on a logarithmic scale, 0 only for none."""
+def _encode_tokens(tokens: int) -> int:
+    """Return a token count on a logarithmic scale of one byte, 0 only for none."""
     if tokens <= 0:
         return 0
     doublings = math.log2(max(1.0, tokens / TOKEN_UNIT))
-    return min(_BYTE, 1 + round(STEPS_A_DOUBLING * doublings))
+    return min(_MAX_UINT8, 1 + round(STEPS_PER_DOUBLING * doublings))
 
 
-def _tokens(step: int) -> int:
+def _decode_tokens(step: int) -> int:
+    """Return the token count of a step of the logarithmic scale."""
     if not step:
         return 0
-    return round(TOKEN_UNIT * 2 ** ((step - 1) / STEPS_A_DOUBLING))
+    return round(TOKEN_UNIT * 2 ** ((step - 1) / STEPS_PER_DOUBLING))
--- a/berylnotch/group/commands.py
+++ b/berylnotch/group/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated state of a fleet."""
+"""Commands that change the replicated state of a fleet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @frozen
 class PutConfiguration:
-    """Bring a configuration in force, unless a higher version already is."""
+    """Activate a configuration, unless the active version is equal or higher."""
 
     version: int
     content: bytes
@@ -19,7 +19,7 @@
 
 @frozen
 class NameWeights:
-    """Name the version of a model's weights that engines shall run."""
+    """Announce the version of a model's weights that engines have to run."""
 
     model: str
     version: int
@@ -27,14 +27,17 @@
 
 @frozen
 class TakeOrders:
-    """A controller takes over giving orders to engines."""
+    """A controller acquires the right to send orders to engines."""
 
     holder: str
 
 
 @frozen
 class GiveBackOrders:
-    """A controller gives no more orders, and has given none for a lease."""
+    """A controller releases the right to send orders to engines.
+
+    It sends no further order, and has sent none for the length of an order lease.
+    """
 
     holder: str
 
--- a/berylnotch/group/messages.py
+++ b/berylnotch/group/messages.py
@@ -13,7 +13,7 @@
 
 @frozen
 class JoinRequest:
-    """A controller outside the group asks to be added."""
+    """Request of a controller outside the group to join it."""
 
     name: str
     replica: str
@@ -23,10 +23,10 @@
 
 @frozen
 class Redirect:
-    """Answer of a controller that does not lead.
+    """Answer of a controller that is not the leader.
 
-    ``leader`` is empty if it knows none; ``members`` are all controllers that it
-    knows.
+    ``leader`` is the address of the leader, empty if it is unknown; ``members`` are
+    the addresses of all controllers that the sender knows.
     """
 
     leader: str
@@ -35,10 +35,11 @@
 
 @frozen
 class TargetLoad:
-    """Work that one router, or all, have under way at a target.
+    """In-flight work of one router, or of all routers, at a target.
 
-    ``unread`` are prompt tokens that the target probably has yet to read. ``long`` are
-    the requests that take long, of which only routers' reports tell.
+    ``unread`` is the estimated number of prompt tokens that the target has not
+    prefilled yet. ``long`` is the number of long requests, which only the reports of
+    routers contain.
     """
 
     target_id: str
@@ -49,13 +50,14 @@
 
 @frozen
 class PromptNote:
-    """A shared prompt that a target reads or has read, or a store was sent.
-
-    ``prompt`` is its mark (`berylnotch.placement.chains.prompt_mark`). ``holder`` is a
-    target's identity or a store's address. ``own_tokens`` are those of the rest of
-    the prompt, which fill the target's memory as well. ``is_ready`` tells that it
-    was read, so that others may take it over from there; ``unread`` are the tokens
-    that the target has yet to read for it.
+    """Note on a shared prompt prefix that a target or a store holds or will hold.
+
+    ``prompt`` identifies the prefix (`berylnotch.placement.chains.prompt_mark`), and
+    ``tokens`` is its length. ``holder`` is a target's identity or a store's address.
+    ``own_tokens`` is the number of tokens in the rest of the prompt, which occupy the
+    target's KV cache as well. ``is_ready`` is true once the prefix is prefilled, so
+    that other targets can copy it from the holder. ``unread`` is the number of tokens
+    that the target has still to prefill for the request.
     """
 
     prompt: int
@@ -68,7 +70,7 @@
 
 @frozen
 class CrashMark:
-    """A request, by its fingerprint, that was running when a target was lost."""
+    """Fingerprint of a request that was running on a target when it was lost."""
 
     fingerprint: bytes
     target_id: str
@@ -76,9 +78,10 @@
 
 @frozen
 class LeavingWord:
-    """A target that told a router in an answer that it leaves.
+    """Notice that a target announced in an answer to a router that it is leaving.
 
-    ``born_ms`` is its start as the router knows it: the word holds for that one only.
+    ``born_ms`` is the Unix time in milliseconds of the target's start, as known to the
+    router. The notice applies to that start only.
     """
 
     target_id: str
@@ -87,11 +90,11 @@
 
 @frozen
 class RouterReport:
-    """What a router tells the leader.
+    """Periodic report of a router to the leader.
 
-    ``incarnation`` changes with each start. ``address`` is where callers connect.
-    ``ejected`` are targets that failed and are left out, ``leaving`` those that said
-    that they leave.
+    ``incarnation`` changes with each start of the router. ``address`` is the address
+    to which callers connect. ``ejected`` are the targets that the router ejected after
+    failures, ``leaving`` those that announced to it that they are leaving.
     """
 
     name: str
@@ -109,7 +112,7 @@
 
 @frozen
 class ConfigurationUpdate:
-    """The configuration in force, as the operator wrote it."""
+    """The active configuration, in the bytes that the operator submitted."""
 
     version: int
     content: bytes
@@ -117,10 +120,11 @@
 
 @frozen
 class TargetEntry:
-    """A target and whether it is loading weights, and so refuses work.
+    """A target, with the state of its weights load.
 
-    ``is_emptying`` tells that it loads as soon as its long requests have ended, and
-    gets no more of them.
+    While ``is_loading`` is true, the target refuses work. While ``is_emptying`` is
+    true, the target waits for its long requests to end before it loads, and gets no
+    further long requests.
     """
 
     target: ListedTarget
@@ -130,12 +134,12 @@
 
 @frozen
 class TargetsUpdate:
-    """Targets, the weights that were named, and stores out of reach.
+    """Targets, announced weights and unreachable stores.
 
-    ``targets`` are all of them if ``is_whole``, else those that changed since the
-    update before; ``gone`` are the identities of those that are not listed any more.
-    ``numbers`` are those of ``targets``, in the same order, by which other messages
-    with the same ``numbering`` name them.
+    ``targets`` are all targets if ``is_whole`` is true, else those that changed since
+    the previous update. ``gone`` are the identities of targets that are no longer
+    listed. ``numbers`` are the numbers of ``targets``, in the same order. Other
+    messages with the same ``numbering`` refer to targets by these numbers.
     """
 
     targets: tuple[TargetEntry, ...]
@@ -149,7 +153,7 @@
 
 @frozen
 class RouterEntry:
-    """A router that callers may be sent to."""
+    """A router whose address callers may get."""
 
     address: str
     failure_domain: str
@@ -159,8 +163,8 @@
 class RosterUpdate:
     """Routers that take requests.
 
-    ``routers`` are all of them if ``is_whole``, else those that came since the update
-    before; ``gone`` are the addresses of those that left.
+    ``routers`` are all routers if ``is_whole`` is true, else those that were added or
+    changed since the previous update. ``gone`` are the addresses of removed routers.
     """
 
     routers: tuple[RouterEntry, ...]
@@ -170,9 +174,9 @@
 
 @frozen
 class LoadsUpdate:
-    """Requests under way at each target over all routers.
+    """In-flight work at each target, summed over all routers.
 
-    ``suspects`` are targets that several routers left out after failures.
+    ``suspects`` are the targets that several routers ejected after failures.
     """
 
     loads: tuple[TargetLoad, ...]
@@ -181,10 +185,11 @@
 
 @frozen
 class LoadColumns:
-    """Sums of loads on their way to routers; `berylnotch.group.columns` reads them.
+    """Load sums in the encoding of `berylnotch.group.columns`.
 
-    The bytes at a target's number are its requests, and its unread prompt tokens on a
-    logarithmic scale. ``suspects`` are numbers of targets.
+    In ``requests``, the byte at a target's number is its number of requests. In
+    ``unread``, it is its number of unread prompt tokens on a logarithmic scale.
+    ``suspects`` are numbers of targets.
     """
 
     numbering: int
@@ -195,10 +200,10 @@
 
 @frozen
 class NoteRecords:
-    """Notes of prompts on their way to routers; `berylnotch.group.columns` reads them.
+    """Prompt notes in the encoding of `berylnotch.group.columns`.
 
-    ``notes`` are records of a fixed size, ``stores`` the addresses of the stores that
-    they mean.
+    ``notes`` are records of a fixed size, ``stores`` the addresses of the stores to
+    which they refer.
     """
 
     numbering: int
@@ -208,18 +213,18 @@
 
 @frozen
 class CrashesUpdate:
-    """Suspicions of requests that other routers reported."""
+    """Losses of targets with the requests that they ran, as reported by routers."""
 
     crashes: tuple[CrashMark, ...]
 
 
-#: Messages between controllers.
+#: Classes of the messages between controllers.
 GROUP_MESSAGES = (*message_classes(consensus), JoinRequest, Redirect)
 
-#: Messages that a controller takes.
+#: Classes of the messages that a controller accepts.
 CONTROLLER_MESSAGES = (*GROUP_MESSAGES, RouterReport, GrantRequest)
 
-#: Messages that a router takes.
+#: Classes of the messages that a router accepts.
 ROUTER_MESSAGES = (
     Redirect,
     ConfigurationUpdate,
--- a/berylnotch/group/settings.py
+++ b/berylnotch/group/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a group of controllers that forms by itself."""
+"""Settings of the automatic membership changes of a controller group."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 
 @frozen
 class GroupSettings:
-    """When the leader changes the group; times in seconds.
+    """Intervals and limits of membership changes; all times are in seconds.
 
     Parameters
     ----------
     join_retry_s : float, default=0.3
-        Pause between two requests of a controller outside the group.
+        Interval between two requests to join of a controller outside the group.
     lost_contact_s : float, default=3.0
-        Time without a leader after which a member asks whether it still is one;
-        about two election timeouts.
+        Time without contact to a leader after which a member asks to join again, in
+        case it was removed. It is about two election timeouts.
     candidate_s : float, default=1.5
-        Age at which a request to join is forgotten.
+        Age at which a request to join expires.
     remove_after_s : float, default=10.0
-        Silence after which a voter leaves the group, so that later failures are
-        counted against those that are there. Longer than the usual restart.
+        Time without an answer after which a voter is removed, so that quorums are
+        counted among the voters that are present. It is longer than a usual restart.
     replace_after_s : float, default=3.0
-        The same if a new member has caught up and takes its place.
+        The same limit if the group has a spare voter, because a new member has caught
+        up to replace the silent one. It is also the limit for learners.
     min_voters : int, default=3
-        Voters below which no silent one is removed.
+        Number of voters at or below which no silent voter is removed.
     """
 
     join_retry_s: float = 0.3
--- a/berylnotch/group/state.py
+++ b/berylnotch/group/state.py
@@ -1,4 +1,4 @@
-"""Replicated state of a fleet: configuration, weights, who gives orders."""
+"""Replicated state of a fleet: configuration, weights, holder of the order right."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @frozen
 class _Saved:
-    """Form of the state in a snapshot."""
+    """Serialised form of the state in a snapshot."""
 
     version: int
     content: bytes
@@ -26,7 +26,7 @@
 
 
 class FleetState:
-    """State that every controller computes from the same log."""
+    """State that every controller derives from the same replicated log."""
 
     def __init__(self) -> None:
         self._version = 0
@@ -36,26 +36,29 @@
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force, 0 before the first."""
+        """Version of the active configuration, 0 before the first one."""
         return self._version
 
     @property
     def content(self) -> bytes:
-        """Configuration in force, as the operator wrote it."""
+        """Active configuration, in the bytes that the operator submitted."""
         return self._content
 
     @property
     def weights(self) -> tuple[ModelVersion, ...]:
-        """Newest named version of each model."""
+        """Newest announced version of each model."""
         return tuple(ModelVersion(m, v) for m, v in sorted(self._weights.items()))
 
     @property
     def order_holder(self) -> str:
-        """Controller whose orders may be under way; empty if there are none."""
+        """Controller that has the right to send orders; empty if none has it.
+
+        Only its orders can be in progress.
+        """
         return self._order_holder
 
     def wanted_version(self, model: str) -> int:
-        """Return the newest named version of a model, 0 if none was."""
+        """Return the newest announced version of a model, 0 if there is none."""
         return self._weights.get(model, 0)
 
     def apply(self, payload: bytes) -> None:
@@ -66,8 +69,8 @@
                 self._version = command.version
                 self._content = command.content
         elif isinstance(command, NameWeights):
-            known = self._weights.get(command.model, 0)
-            self._weights[command.model] = max(known, command.version)
+            current_version = self._weights.get(command.model, 0)
+            self._weights[command.model] = max(current_version, command.version)
         elif isinstance(command, TakeOrders):
             self._order_holder = command.holder
         elif isinstance(command, GiveBackOrders):
@@ -75,13 +78,13 @@
                 self._order_holder = ""
 
     def snapshot(self) -> bytes:
-        """Return the state as bytes."""
+        """Return the serialised state."""
         return pack(
             _Saved(self._version, self._content, self.weights, self._order_holder)
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state by a serialised one."""
         saved = unpack(data, (_Saved,))
         self._version = saved.version
         self._content = saved.content
--- a/berylnotch/membership/addresses.py
+++ b/berylnotch/membership/addresses.py
@@ -1,4 +1,4 @@
-"""Which entry VMs a caller should use."""
+"""Choice of the VMs whose addresses a caller gets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @frozen
 class AddressAnswer:
-    """Addresses in order of preference, and how long to keep them."""
+    """Addresses in order of preference, and the seconds for which to keep them."""
 
     addresses: tuple[str, ...]
     keep_s: int
@@ -34,10 +34,11 @@
 ) -> AddressAnswer:
     """Choose the VMs for a caller.
 
-    An organisation's callers are led to the same few VMs, so that its grants
-    and cache knowledge are not scattered. These lie in different failure
-    domains as far as possible, and those near the caller come first. VMs that
-    leave, are lost or drained are left out unless no other is left.
+    All callers of an organisation get the same few VMs, so that its token grants and
+    the routers' knowledge of its cached prefixes are not spread over many VMs. The
+    VMs are in different failure domains as far as possible, and those in the caller's
+    failure domain come first. VMs that are leaving, lost or drained are omitted
+    unless no other VM exists.
 
     Parameters
     ----------
@@ -46,46 +47,49 @@
     organisation : str
         The caller's organisation; may be empty.
     failure_domain : str
-        Where the caller is; empty if not known.
+        Failure domain of the caller; empty if not known.
     settings : MembershipSettings
-        Number of addresses and how long they are kept.
+        Gives the number of addresses.
     turn : int, default=0
-        Counts the answers of this router, so that the callers of a large
-        organisation spread over its VMs.
+        Number of earlier answers of this router. It rotates the addresses, so that the
+        callers of a large organisation spread over all its VMs.
     """
-    known = list(view.fleet.vms.values())
-    vms = [vm for vm in known if _is_live(view, vm.name)] or known
+    all_vms = list(view.fleet.vms.values())
+    vms = [vm for vm in all_vms if _is_live(view, vm.name)] or all_vms
     key = name_hash(organisation)
     vms.sort(key=lambda vm: (weight(key, name_hash(vm.name)), vm.name))
-    count = _vm_count(view.fleet, organisation, len(vms), settings)
-    own = _spread(vms)[:count]
-    start = turn % count if count > settings.answer_vms else 0
-    chosen = (own[start:] + own[:start])[: settings.answer_vms]
+    count = _count_vms(view.fleet, organisation, len(vms), settings)
+    candidates = _interleave_failure_domains(vms)[:count]
+    offset = turn % count if count > settings.answer_vms else 0
+    chosen = (candidates[offset:] + candidates[:offset])[: settings.answer_vms]
     chosen.sort(key=lambda vm: vm.failure_domain != failure_domain)
     return AddressAnswer(
         tuple(vm.address for vm in chosen), int(view.fleet.address_keep_s)
     )
 
 
-def _vm_count(
-    fleet: Fleet, organisation: str, vms: int, settings: MembershipSettings
+def _count_vms(
+    fleet: Fleet, organisation: str, vm_count: int, settings: MembershipSettings
 ) -> int:
-    """Return how many VMs serve an organisation; more if its rate is large."""
+    """Return the number of VMs that serve an organisation.
+
+    It is proportional to the organisation's part of all rates, with a lower bound.
+    """
     found = fleet.organisations.get(organisation)
     if found is None:
         return settings.answer_vms
-    total = sum(other.rate for other in fleet.organisations.values())
-    return max(settings.answer_vms, math.ceil(vms * found.rate / total))
+    total_rate = sum(other.rate for other in fleet.organisations.values())
+    return max(settings.answer_vms, math.ceil(vm_count * found.rate / total_rate))
 
 
-def _spread(vms: list[Vm]) -> list[Vm]:
-    """Put the first VM of each failure domain before the second ones."""
-    seen: Counter[str] = Counter()
-    rounds = []
+def _interleave_failure_domains(vms: list[Vm]) -> list[Vm]:
+    """Put the first VM of each failure domain before all second VMs, and so on."""
+    counts: Counter[str] = Counter()
+    sort_keys = []
     for vm in vms:
-        rounds.append((seen[vm.failure_domain], len(rounds)))
-        seen[vm.failure_domain] += 1
-    return [vms[position] for _, position in sorted(rounds)]
+        sort_keys.append((counts[vm.failure_domain], len(sort_keys)))
+        counts[vm.failure_domain] += 1
+    return [vms[position] for _, position in sorted(sort_keys)]
 
 
 def _is_live(view: View, name: str) -> bool:
--- a/berylnotch/membership/answers.py
+++ b/berylnotch/membership/answers.py
@@ -1,4 +1,4 @@
-"""Which routers of a fleet an address answer names."""
+"""Choice of the router addresses in an answer to an address request."""
 
 from __future__ import annotations
 
@@ -6,26 +6,28 @@
 
 from berylnotch.placement.mixing import mix
 
-#: Most addresses in one answer, by the users' interface.
+#: Largest number of addresses that the address interface allows in one answer.
 MAX_ADDRESSES = 64
 
 
-def answer_addresses(own: str, is_ready: bool, others: Iterable[str]) -> list[str]:
-    """Return the addresses of one answer.
+def answer_addresses(
+    own_address: str, is_ready: bool, other_addresses: Iterable[str]
+) -> list[str]:
+    """Return the addresses for one answer, sorted.
 
-    If there are more routers than an answer may name, each router names a different
-    part of them, so that all get callers.
+    If there are more routers than an answer may contain, each router answers with a
+    different subset, so that all routers get callers.
 
     Parameters
     ----------
-    own : str
-        Address of the router that answers.
+    own_address : str
+        Address of the answering router.
     is_ready : bool
-        Whether that router takes callers itself.
-    others : iterable of str
+        Whether the answering router takes callers itself.
+    other_addresses : iterable of str
         Addresses of the other routers that take callers.
     """
-    addresses = sorted(others, key=lambda address: mix(address, own))
+    addresses = sorted(other_addresses, key=lambda address: mix(address, own_address))
     if is_ready:
-        addresses.insert(0, own)
+        addresses.insert(0, own_address)
     return sorted(addresses[:MAX_ADDRESSES])
--- a/berylnotch/membership/board.py
+++ b/berylnotch/membership/board.py
@@ -1,4 +1,4 @@
-"""The leader's picture of all targets: the list, and what engines said since."""
+"""The leader's state of all targets: the target list and newer engine reports."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 from berylnotch.group.messages import LeavingWord, TargetEntry
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 
-#: Seconds for which an engine's own word on its weights counts more than the list,
-#: which is some seconds late.
-OWN_WORD_S = 4.0
+#: Seconds for which an engine's own report of its weights takes precedence over the
+#: target list, since the list lags by some seconds.
+ENGINE_REPORT_PRECEDENCE_S = 4.0
 
 
-#: Part of a service's targets that are taken as leaving by the word of one router
-#: alone; a router that is wrong must not empty a service.
-ONE_WORD_PART = 0.5
+#: Largest fraction of a service's targets that are marked as leaving on the report of
+#: a single router, so that a faulty router cannot remove a whole service.
+MAX_UNCONFIRMED_LEAVING_FRACTION = 0.5
 
-#: Routers by whose words any number of targets is taken as leaving.
-SURE_WORDS = 2
+#: Number of routers whose agreeing reports mark a target as leaving without a limit.
+CONFIRMING_ROUTERS = 2
 
 
 @define
-class _Loaded:
-    """Version that an engine reported, and when."""
+class _ReportedWeights:
+    """Version that an engine reported, and the time of the report in seconds."""
 
     version: ModelVersion
-    at: float
+    reported_at: float
     born_ms: int
 
 
 class TargetBoard:
-    """Targets by identity, with the loads of weights that are under way."""
+    """Targets by identity, with the weights loads in progress."""
 
     def __init__(self) -> None:
-        self._listed: dict[str, ListedTarget] = {}
-        self._loaded: dict[str, _Loaded] = {}
+        self._targets: dict[str, ListedTarget] = {}
+        self._reported_weights: dict[str, _ReportedWeights] = {}
         self._loading: dict[str, float] = {}
         self._emptying: set[str] = set()
-        #: Routers that heard a target say that it leaves, by its identity and start.
-        self._words: dict[LeavingWord, set[str]] = {}
+        #: Routers that reported a target as leaving, by its identity and start time.
+        self._leaving_reports: dict[LeavingWord, set[str]] = {}
         self._listed_at: float | None = None
 
     @property
     def listed_at(self) -> float | None:
-        """When the list was last read in full, None if never."""
+        """Time in seconds at which the list was last read in full, None if never."""
         return self._listed_at
 
     @property
@@ -54,11 +54,11 @@
         return frozenset(self._loading)
 
     def targets(self) -> tuple[ListedTarget, ...]:
-        """Return all targets, with the weights that they are known to run."""
-        return tuple(self._listed[name] for name in sorted(self._listed))
+        """Return all targets, with the weights that they run as far as known."""
+        return tuple(self._targets[name] for name in sorted(self._targets))
 
     def entries(self) -> tuple[TargetEntry, ...]:
-        """Return all targets for routers."""
+        """Return all targets in the form that routers get."""
         leaving = self.leaving_by_word()
         return tuple(
             TargetEntry(
@@ -71,79 +71,95 @@
             for target in self.targets()
         )
 
-    def said_leaving(self, router: str, words: Collection[LeavingWord]) -> bool:
-        """Take what a router heard from targets; return whether any of it is new."""
+    def said_leaving(self, router: str, notices: Collection[LeavingWord]) -> bool:
+        """Store the leaving notices that a router got from targets.
+
+        Returns
+        -------
+        bool
+            Whether the set of leaving targets changed.
+        """
         before = self.leaving_by_word()
-        for word in words:
-            if self._is_current(word):
-                self._words.setdefault(word, set()).add(router)
+        for notice in notices:
+            if self._is_current(notice):
+                self._leaving_reports.setdefault(notice, set()).add(router)
         return self.leaving_by_word() != before
 
     def leaving_by_word(self) -> frozenset[str]:
-        """Return the targets that said that they leave, whatever the list shows."""
-        if not self._words:
+        """Return the targets that announced that they leave.
+
+        The state in the target list does not count.
+        """
+        if not self._leaving_reports:
             return frozenset()
-        sure, unsure = set(), {}
-        for word, routers in self._words.items():
-            if len(routers) >= SURE_WORDS:
-                sure.add(word.target_id)
+        leaving, unconfirmed = set(), {}
+        for notice, routers in self._leaving_reports.items():
+            if len(routers) >= CONFIRMING_ROUTERS:
+                leaving.add(notice.target_id)
             else:
-                service = self._listed[word.target_id].service
-                unsure.setdefault(service, []).append(word.target_id)
-        for service, targets in unsure.items():
-            count = sum(t.service == service for t in self._listed.values())
-            sure.update(sorted(targets)[: int(count * ONE_WORD_PART)])
-        return frozenset(sure)
+                service = self._targets[notice.target_id].service
+                unconfirmed.setdefault(service, []).append(notice.target_id)
+        for service, targets in unconfirmed.items():
+            count = sum(t.service == service for t in self._targets.values())
+            leaving.update(
+                sorted(targets)[: int(count * MAX_UNCONFIRMED_LEAVING_FRACTION)]
+            )
+        return frozenset(leaving)
 
     def target(self, target_id: str) -> ListedTarget | None:
         """Return a target, or None if it is not listed."""
-        return self._listed.get(target_id)
+        return self._targets.get(target_id)
 
     def listed(self, now: float, targets: tuple[ListedTarget, ...]) -> None:
-        """Take a whole list."""
+        """Replace all targets by those of a complete target list."""
         self._listed_at = now
-        self._listed = {t.target_id: self._correct(now, t) for t in targets}
-        for name in self._loading.keys() - self._listed.keys():
+        self._targets = {
+            t.target_id: self._apply_engine_report(now, t) for t in targets
+        }
+        for name in self._loading.keys() - self._targets.keys():
             del self._loading[name]
-        self._emptying &= self._listed.keys()
-        for name in self._loaded.keys() - self._listed.keys():
-            del self._loaded[name]
-        for word in tuple(self._words):
-            if not self._is_current(word):
-                del self._words[word]
+        self._emptying &= self._targets.keys()
+        for name in self._reported_weights.keys() - self._targets.keys():
+            del self._reported_weights[name]
+        for notice in tuple(self._leaving_reports):
+            if not self._is_current(notice):
+                del self._leaving_reports[notice]
 
     def began_emptying(self, target_id: str) -> None:
-        """Note that a target shall get no more long requests, since it loads next."""
+        """Stop long requests to a target, because it loads weights next."""
         self._emptying.add(target_id)
 
     def began_loading(self, now: float, target_id: str) -> None:
-        """Note that a target gets an order to load weights."""
+        """Mark a target as loading weights."""
         self._emptying.discard(target_id)
         self._loading[target_id] = now
 
     def stopped_loading(self, target_id: str) -> None:
-        """Note that a target serves again, whatever its weights."""
+        """Mark a target as serving again, with old or new weights."""
         self._emptying.discard(target_id)
         self._loading.pop(target_id, None)
 
     def loaded(self, now: float, target_id: str, version: ModelVersion) -> None:
-        """Note the weights that an engine reports."""
-        target = self._listed.get(target_id)
+        """Store the weights that an engine reports; unlisted targets are ignored."""
+        target = self._targets.get(target_id)
         if target is None:
             return
-        self._loaded[target_id] = _Loaded(version, now, target.born_ms)
-        self._listed[target_id] = self._correct(now, target)
+        self._reported_weights[target_id] = _ReportedWeights(
+            version, now, target.born_ms
+        )
+        self._targets[target_id] = self._apply_engine_report(now, target)
 
-    def _is_current(self, word: LeavingWord) -> bool:
-        """Tell whether a word is of the target as it is listed now."""
-        target = self._listed.get(word.target_id)
-        return target is not None and target.born_ms == word.born_ms
+    def _is_current(self, notice: LeavingWord) -> bool:
+        """Tell whether a notice belongs to the listed start of its target."""
+        target = self._targets.get(notice.target_id)
+        return target is not None and target.born_ms == notice.born_ms
 
-    def _correct(self, now: float, target: ListedTarget) -> ListedTarget:
-        known = self._loaded.get(target.target_id)
-        if known is None or known.born_ms != target.born_ms:
+    def _apply_engine_report(self, now: float, target: ListedTarget) -> ListedTarget:
+        """Return a listed target with the weights of its engine's recent report."""
+        report = self._reported_weights.get(target.target_id)
+        if report is None or report.born_ms != target.born_ms:
             return target
-        if now - known.at > OWN_WORD_S:
+        if now - report.reported_at > ENGINE_REPORT_PRECEDENCE_S:
             return target
-        others = (m for m in target.models if m.name != known.version.name)
-        return evolve(target, models=(*others, known.version))
+        others = (m for m in target.models if m.name != report.version.name)
+        return evolve(target, models=(*others, report.version))
--- a/berylnotch/membership/crashes.py
+++ b/berylnotch/membership/crashes.py
@@ -1,4 +1,7 @@
-"""Requests that crash the targets that run them."""
+"""Detection of requests that crash the targets that run them.
+
+Requests are identified by their fingerprints.
+"""
 
 from __future__ import annotations
 
@@ -11,18 +14,20 @@
 
 from berylnotch.membership.settings import MembershipSettings
 
-#: Bytes of a fingerprint.
+#: Length of a fingerprint in bytes.
 FINGERPRINT_BYTES = 16
 
-#: Time in seconds within which failures at one target are the same loss.
+#: Seconds within which failures at one target count as the same loss.
 LOSS_WINDOW_S = 2.0
 
-SharedTargets = Callable[[bytes], frozenset[str]]
+#: Returns the targets that other routers reported as lost with a request.
+PeerLosses = Callable[[bytes], frozenset[str]]
 
 
 def fingerprint(organisation: str, body: bytes) -> bytes:
-    """Identify a request by its organisation and body."""
-    # Processes of a fleet do without this library, which takes 3.5 MB of each.
+    """Return a cryptographic fingerprint of a request's organisation and body."""
+    # Imported here, because fleet processes do not use this function and the library
+    # takes 3.5 MB of memory in each process.
     import hashlib
 
     digest = hashlib.sha256(organisation.encode() + b"\0")
@@ -31,10 +36,11 @@
 
 
 def light_fingerprint(organisation: str, body: bytes) -> bytes:
-    """Identify a request by two checksums and its length.
+    """Return a fingerprint of two checksums and the length of a request.
 
-    It tells chance apart, not intent: a caller who makes two bodies with the same
-    one only blames the own requests.
+    It makes accidental collisions unlikely, not deliberate ones. A caller who
+    constructs two bodies with the same fingerprint only causes refusals of requests
+    of the same organisation.
     """
     data = organisation.encode() + b"\0" + body
     return struct.pack("<III", zlib.crc32(data), zlib.adler32(data), len(data))
@@ -42,14 +48,14 @@
 
 @frozen
 class Verdict:
-    """What a loss tells of the requests that ran.
+    """Conclusions from the loss of a target about the requests that it ran.
 
     Parameters
     ----------
     reported : tuple of bytes
-        Requests whose loss other routers should hear of.
+        Requests for which the loss is reported to other routers.
     blamed : tuple of bytes
-        Those of them that are refused from now on.
+        Those of the reported requests that are refused from now on.
     """
 
     reported: tuple[bytes, ...] = ()
@@ -58,26 +64,36 @@
 
 @define
 class _Suspicion:
-    """Targets lost with a request; ``doubtful`` ones had other suspects too."""
+    """Targets that were lost while they ran a request.
+
+    Parameters
+    ----------
+    updated_at : float
+        Time of the latest loss in seconds.
+    targets : set of str
+        Targets whose loss is attributed to the request.
+    ambiguous : dict of str to float
+        Targets that ran other suspects too, with the time of their loss.
+    """
 
-    seen_at: float
+    updated_at: float
     targets: set[str] = field(factory=set)
-    doubtful: dict[str, float] = field(factory=dict)
+    ambiguous: dict[str, float] = field(factory=dict)
 
 
 class CrashGuard:
-    """Suspicion of requests that ran when a target was lost.
+    """Tracks the requests that ran on lost targets and finds those to refuse.
 
-    Every request that ran on a lost target is a suspect. The second target
-    that is lost decides: a request that was the only suspect there is blamed.
-    If several suspects ran there, none is blamed by it, and `avoid` keeps them
-    apart on their next targets, so that the next loss tells. A request that
-    runs to its end is cleared.
+    Every request that ran on a lost target becomes a suspect. If a second target is
+    lost and a single suspect ran on it, that request is blamed. If several suspects
+    ran on it, the loss is ambiguous and blames none of them. `avoid` then keeps the
+    suspects on different targets, so that the next loss identifies the cause. A
+    request that runs to its end is cleared.
 
     Parameters
     ----------
     settings : MembershipSettings
-        Limit, retention and size.
+        Limit of losses, retention time and number of suspicions.
     """
 
     def __init__(self, settings: MembershipSettings) -> None:
@@ -90,16 +106,16 @@
         return len(self._suspicions) + len(self._cleared)
 
     def began(self, request: bytes, target: str) -> None:
-        """Note that a target runs a request."""
+        """Record that a target runs a request."""
         running = self._running.setdefault(target, {})
         running[request] = running.get(request, 0) + 1
 
     def ended(self, request: bytes, target: str) -> None:
-        """Note that a target does not run a request any more."""
+        """Record that a target no longer runs a request."""
         running = self._running.get(target, {})
-        left = running.get(request, 0) - 1
-        if left > 0:
-            running[request] = left
+        remaining = running.get(request, 0) - 1
+        if remaining > 0:
+            running[request] = remaining
             return
         running.pop(request, None)
         if not running:
@@ -110,7 +126,7 @@
         if self._suspicions.pop(request, None) is None:
             return
         self._cleared[request] = now
-        while len(self._cleared) > self._settings.crash_max:
+        while len(self._cleared) > self._settings.max_suspicions:
             self._cleared.popitem(last=False)
 
     def lost(
@@ -118,9 +134,9 @@
         now: float,
         target: str,
         requests: Iterable[bytes] = (),
-        shared: SharedTargets | None = None,
+        peer_losses: PeerLosses | None = None,
     ) -> Verdict:
-        """Note that a target was lost.
+        """Attribute the loss of a target to the requests that it ran.
 
         Parameters
         ----------
@@ -129,38 +145,43 @@
         target : str
             Name of the target.
         requests : iterable of bytes
-            Requests that ran there, with those noted by `began`.
-        shared : callable, optional
-            Gives the targets that other routers saw lost with a request.
+            Requests that the target ran, besides those recorded by `began`.
+        peer_losses : callable, optional
+            Returns the targets that other routers reported as lost with a request.
 
         Returns
         -------
         Verdict
-            What to report and what is refused now.
+            Requests to report to other routers, and requests that are now refused.
         """
         running = set(requests) | set(self._running.pop(target, {}))
-        running = {r for r in running if not self._is_judged(now, r, target)}
+        running = {r for r in running if not self._is_loss_recorded(now, r, target)}
         suspects = {
-            request for request in running if self._others(now, request, target, shared)
+            request
+            for request in running
+            if self._other_lost_targets(now, request, target, peer_losses)
         }
-        is_doubtful = len(suspects) > 1
+        is_ambiguous = len(suspects) > 1
         for request in running:
-            held = self._suspect(now, request)
-            if request in suspects and is_doubtful:
-                held.doubtful[target] = now
+            suspicion = self._add_suspicion(now, request)
+            if request in suspects and is_ambiguous:
+                suspicion.ambiguous[target] = now
             else:
-                held.targets.add(target)
-        self._trim(now)
-        blamed = tuple(sorted(r for r in suspects if self.is_refused(now, r, shared)))
-        reported = running - suspects if is_doubtful else running
+                suspicion.targets.add(target)
+        self._evict_suspicions(now)
+        blamed = tuple(
+            sorted(r for r in suspects if self.is_refused(now, r, peer_losses))
+        )
+        reported = running - suspects if is_ambiguous else running
         return Verdict(tuple(sorted(reported | set(blamed))), blamed)
 
     def avoid(self, now: float, request: bytes) -> frozenset[str]:
-        """Return the targets where another suspect runs.
+        """Return the targets that run another suspect.
 
-        Empty if the request is no suspect itself. If no other target is left,
-        one of these is better than to give the request up: it may be innocent,
-        and the loss of a target with several suspects blames none of them.
+        The result is empty if the request is not a suspect itself. If no other target
+        is available, the request should run on one of these rather than fail. It may
+        be innocent, and the loss of a target with several suspects blames none of
+        them.
         """
         if not self._is_suspect(now, request):
             return frozenset()
@@ -171,77 +192,106 @@
         )
 
     def targets(self, now: float, request: bytes) -> frozenset[str]:
-        """Return the targets whose loss counts against the request."""
-        held = self._held(now, request)
-        return frozenset(held.targets) if held is not None else frozenset()
+        """Return the targets whose loss is attributed to the request."""
+        suspicion = self._find_suspicion(now, request)
+        return frozenset(suspicion.targets) if suspicion is not None else frozenset()
 
     def is_refused(
         self,
         now: float,
         request: bytes,
-        shared: SharedTargets | frozenset[str] | None = None,
+        peer_losses: PeerLosses | frozenset[str] | None = None,
     ) -> bool:
         """Tell whether the request must be refused.
 
-        ``shared`` are the targets that other routers report, or gives them.
-        They do not count once the request was cleared here.
+        ``peer_losses`` is the set of targets that other routers reported as lost with
+        the request, or a callable that returns it. These losses do not count after
+        the request ran to its end here.
         """
-        reported = shared(request) if callable(shared) else shared or frozenset()
+        peer_targets = (
+            peer_losses(request)
+            if callable(peer_losses)
+            else peer_losses or frozenset()
+        )
         if self._is_cleared(now, request):
-            reported = frozenset()
-        held = self._held(now, request)
-        if held is None:
-            return len(reported) >= self._settings.crash_limit
-        certain = held.targets | reported
-        if len(certain) >= self._settings.crash_limit:
+            peer_targets = frozenset()
+        suspicion = self._find_suspicion(now, request)
+        if suspicion is None:
+            return len(peer_targets) >= self._settings.crash_limit
+        attributed = suspicion.targets | peer_targets
+        if len(attributed) >= self._settings.crash_limit:
             return True
-        # Doubtful losses decide only when there is one more than needed.
-        return len(certain | held.doubtful.keys()) > self._settings.crash_limit
+        # With ambiguous losses, one loss more than the limit is required.
+        return len(attributed | suspicion.ambiguous.keys()) > self._settings.crash_limit
 
-    def _others(
-        self, now: float, request: bytes, target: str, shared: SharedTargets | None
+    def _other_lost_targets(
+        self,
+        now: float,
+        request: bytes,
+        target: str,
+        peer_losses: PeerLosses | None,
     ) -> frozenset[str]:
-        """Return the other targets lost with a request before."""
-        held = self._held(now, request)
-        known = frozenset(held.targets | held.doubtful.keys()) if held else frozenset()
-        if shared is not None and not self._is_cleared(now, request):
-            known |= shared(request)
-        return known - {target}
-
-    def _is_judged(self, now: float, request: bytes, target: str) -> bool:
-        """Tell whether this loss was judged when a neighbour reported it."""
-        held = self._held(now, request)
-        if held is None:
+        """Return the targets other than ``target`` that were lost with a request."""
+        suspicion = self._find_suspicion(now, request)
+        lost_targets = (
+            frozenset(suspicion.targets | suspicion.ambiguous.keys())
+            if suspicion
+            else frozenset()
+        )
+        if peer_losses is not None and not self._is_cleared(now, request):
+            lost_targets |= peer_losses(request)
+        return lost_targets - {target}
+
+    def _is_loss_recorded(self, now: float, request: bytes, target: str) -> bool:
+        """Tell whether this loss is already recorded as ambiguous.
+
+        Each connection to a lost target reports the loss, so the report for another
+        request on the target may have recorded it for this request too.
+        """
+        suspicion = self._find_suspicion(now, request)
+        if suspicion is None:
             return False
-        doubtful_at = held.doubtful.get(target)
-        return doubtful_at is not None and now - doubtful_at <= LOSS_WINDOW_S
+        lost_at = suspicion.ambiguous.get(target)
+        return lost_at is not None and now - lost_at <= LOSS_WINDOW_S
 
     def _is_suspect(self, now: float, request: bytes) -> bool:
-        return self._held(now, request) is not None
+        return self._find_suspicion(now, request) is not None
 
     def _is_cleared(self, now: float, request: bytes) -> bool:
-        at = self._cleared.get(request)
-        return at is not None and now - at <= self._settings.crash_keep_s
+        cleared_at = self._cleared.get(request)
+        return (
+            cleared_at is not None
+            and now - cleared_at <= self._settings.crash_retention_s
+        )
 
-    def _held(self, now: float, request: bytes) -> _Suspicion | None:
-        held = self._suspicions.get(request)
-        if held is None or now - held.seen_at > self._settings.crash_keep_s:
+    def _find_suspicion(self, now: float, request: bytes) -> _Suspicion | None:
+        """Return the unexpired suspicion of a request, None if there is none."""
+        suspicion = self._suspicions.get(request)
+        if (
+            suspicion is None
+            or now - suspicion.updated_at > self._settings.crash_retention_s
+        ):
             return None
-        return held
+        return suspicion
 
-    def _suspect(self, now: float, request: bytes) -> _Suspicion:
-        held = self._held(now, request) or _Suspicion(now)
-        held.seen_at = now
-        self._suspicions[request] = held
+    def _add_suspicion(self, now: float, request: bytes) -> _Suspicion:
+        """Create or renew the suspicion of a request, and revoke its clearance."""
+        suspicion = self._find_suspicion(now, request) or _Suspicion(now)
+        suspicion.updated_at = now
+        self._suspicions[request] = suspicion
         self._suspicions.move_to_end(request)
         self._cleared.pop(request, None)
-        return held
+        return suspicion
 
-    def _trim(self, now: float) -> None:
-        keep_s = self._settings.crash_keep_s
+    def _evict_suspicions(self, now: float) -> None:
+        """Remove expired suspicions, and the oldest ones beyond the maximum."""
+        retention_s = self._settings.crash_retention_s
         while self._suspicions:
             oldest = next(iter(self._suspicions.values()))
-            is_expired = now - oldest.seen_at > keep_s
-            if len(self._suspicions) <= self._settings.crash_max and not is_expired:
+            is_expired = now - oldest.updated_at > retention_s
+            if (
+                len(self._suspicions) <= self._settings.max_suspicions
+                and not is_expired
+            ):
                 return
             self._suspicions.popitem(last=False)
--- a/berylnotch/membership/ejection.py
+++ b/berylnotch/membership/ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of a target after failures, and probing."""
+"""Outlier ejection of a target after consecutive failures, and its probes."""
 
 from __future__ import annotations
 
@@ -12,61 +12,79 @@
 
 @define
 class Ejection:
-    """Failures of one target.
+    """Failure count and ejection state of one target.
 
-    After a number of failures in a row the target is left out for a while.
-    Then one request probes it: success brings it back, failure doubles the
-    time.
+    After a number of consecutive failures the target is ejected for some time. Then
+    one request probes it. A successful probe ends the ejection, a failed one starts
+    another ejection of twice the length, up to a maximum.
+
+    Parameters
+    ----------
+    settings : MembershipSettings
+        Ejection limits.
+    failures : int
+        Number of consecutive failures.
+    ejected_at : float
+        Start of the latest ejection in seconds.
+    until : float
+        Time in seconds from which the target may be probed.
+    duration_s : float
+        Length of the latest ejection in seconds, 0 if the target is not ejected.
+    probe_number : int
+        Number of the request that probes the target, 0 if none does.
     """
 
     settings: MembershipSettings
     failures: int = 0
-    since: float = 0.0
+    ejected_at: float = 0.0
     until: float = 0.0
-    pause_s: float = 0.0
-    probe: int = 0
+    duration_s: float = 0.0
+    probe_number: int = 0
 
     @property
     def is_out(self) -> bool:
-        """Whether it was ejected and no probe succeeded since."""
-        return self.pause_s > 0.0
+        """Whether the target was ejected and no probe has succeeded since."""
+        return self.duration_s > 0.0
 
     def blocks(self, now: float) -> bool:
-        """Tell whether the target is left out now."""
-        return self.is_out and (now < self.until or self.probe != 0)
+        """Tell whether the target must not get a request now."""
+        return self.is_out and (now < self.until or self.probe_number != 0)
 
     def sent(self, now: float, number: int) -> None:
-        """Note a request; the first one after the pause is the probe."""
-        if self.is_out and now >= self.until and not self.probe:
-            self.probe = number
+        """Record a sent request; the first one after the ejection time is the probe."""
+        if self.is_out and now >= self.until and not self.probe_number:
+            self.probe_number = number
 
     def succeeded(self, number: int, sent_at: float) -> None:
-        """Count a success; one from before the ejection proves nothing."""
-        if self.is_out and sent_at < self.since:
+        """Reset the failures, unless the request was sent before the ejection.
+
+        Such a request does not show that the target has recovered.
+        """
+        if self.is_out and sent_at < self.ejected_at:
             return
         self.clear()
 
     def failed(self, now: float, number: int) -> None:
-        """Count a failure."""
+        """Count a failure, and eject the target if it is due or a probe failed."""
         self.failures += 1
-        is_probe = self.probe == number
+        is_probe = self.probe_number == number
         if is_probe:
-            self.probe = 0
-        is_due = not self.is_out and self.failures >= self.settings.eject_after
-        if not (is_probe or is_due):
+            self.probe_number = 0
+        is_ejection_due = not self.is_out and self.failures >= self.settings.eject_after
+        if not (is_probe or is_ejection_due):
             return
-        doubled = 2.0 * self.pause_s or self.settings.eject_s
-        self.pause_s = min(doubled, self.settings.eject_max_s)
-        self.since = now
-        self.until = now + self.pause_s
+        next_duration_s = 2.0 * self.duration_s or self.settings.eject_s
+        self.duration_s = min(next_duration_s, self.settings.eject_max_s)
+        self.ejected_at = now
+        self.until = now + self.duration_s
 
     def abandoned(self, number: int) -> None:
-        """Note that a request ended without telling anything."""
-        if self.probe == number:
-            self.probe = 0
+        """Record the end of a request that is neither a success nor a failure."""
+        if self.probe_number == number:
+            self.probe_number = 0
 
     def clear(self) -> None:
-        """Forget all failures, as for a new process."""
+        """Reset the failures and end the ejection."""
         self.failures = 0
-        self.pause_s = 0.0
-        self.probe = 0
+        self.duration_s = 0.0
+        self.probe_number = 0
--- a/berylnotch/membership/lifecycle.py
+++ b/berylnotch/membership/lifecycle.py
@@ -1,4 +1,4 @@
-"""Whether a target may get new work, merged from all who tell."""
+"""Whether a target may get new work, from all sources of its state."""
 
 from __future__ import annotations
 
@@ -10,74 +10,78 @@
 if TYPE_CHECKING:
     from berylnotch.control.events import LifeStateChanged
 
-#: Earlier incarnations of a target that are remembered.
-MAX_ENDED = 16
+#: Largest number of replaced incarnations of a target that are kept.
+MAX_REPLACED_INCARNATIONS = 16
 
 
 class TargetLifecycle:
-    """One target's incarnations and its own signals, as a router saw them.
+    """Incarnations and signals of one target, as one router observed them.
 
-    A target may get new work unless one of these says otherwise:
+    A target may get new work unless one of these conditions holds:
 
-    - the operator drained it, whatever its incarnation;
-    - it said itself that it leaves; this holds for as long as the incarnation
-      runs, also if the platform's list says live afterwards;
-    - the platform's list says that it leaves or is lost, unless that report is
-      about an incarnation which this router saw replaced.
+    - An operator drains the target, regardless of its incarnation.
+    - The target itself signalled that it is leaving. This holds until its
+      incarnation is replaced, even if the platform's list reports it as live later.
+    - The platform's list reports the target as leaving or lost, unless the report
+      names an incarnation that this router has already seen replaced.
     """
 
     def __init__(self) -> None:
         self._incarnation = ""
         self._is_leaving = False
-        self._ended: OrderedDict[str, None] = OrderedDict()
+        self._replaced: OrderedDict[str, None] = OrderedDict()
 
     @property
     def incarnation(self) -> str:
-        """Newest incarnation that was seen; empty before the first."""
+        """Newest observed incarnation; empty before the first signal."""
         return self._incarnation
 
     def observe(self, incarnation: str, leaving: bool) -> bool:
-        """Take the target's own signal.
+        """Process a signal from the target itself.
 
         Returns
         -------
         bool
-            Whether it came from a new incarnation; a signal of an ended one is
-            late and ignored.
+            Whether the signal came from a new incarnation. A late signal from a
+            replaced incarnation is ignored.
         """
-        if not incarnation or incarnation in self._ended:
+        if not incarnation or incarnation in self._replaced:
             return False
         is_new = incarnation != self._incarnation
         if is_new:
-            self._end(self._incarnation)
+            self._add_replaced(self._incarnation)
             self._incarnation = incarnation
             self._is_leaving = False
         self._is_leaving = self._is_leaving or leaving
         return is_new
 
-    def is_ended(self, incarnation: str) -> bool:
-        """Tell whether an incarnation was seen replaced."""
-        return incarnation in self._ended
+    def is_replaced(self, incarnation: str) -> bool:
+        """Tell whether an incarnation was replaced by another one."""
+        return incarnation in self._replaced
 
-    def may_work(self, drained: bool, listed: LifeStateChanged | None) -> bool:
+    def can_take_work(
+        self, is_drained: bool, platform_report: LifeStateChanged | None
+    ) -> bool:
         """Tell whether the target may get new work.
 
         Parameters
         ----------
-        drained : bool
-            Whether an operator drained it.
-        listed : LifeStateChanged, optional
+        is_drained : bool
+            Whether an operator drains the target.
+        platform_report : LifeStateChanged, optional
             Newest report of the platform's list.
         """
-        if drained or self._is_leaving:
+        if is_drained or self._is_leaving:
             return False
-        if listed is None or listed.state is LifeState.LIVE:
+        if platform_report is None or platform_report.state is LifeState.LIVE:
             return True
-        return bool(listed.incarnation) and self.is_ended(listed.incarnation)
+        return bool(platform_report.incarnation) and self.is_replaced(
+            platform_report.incarnation
+        )
 
-    def _end(self, incarnation: str) -> None:
+    def _add_replaced(self, incarnation: str) -> None:
         if not incarnation:
             return
-        self._ended[incarnation] = None
-        while len(self._ended) > MAX_ENDED:
-            self._ended.popitem(last=False)
+        self._replaced[incarnation] = None
+        while len(self._replaced) > MAX_REPLACED_INCARNATIONS:
+            self._replaced.popitem(last=False)
--- a/berylnotch/membership/listing.py
+++ b/berylnotch/membership/listing.py
@@ -1,4 +1,4 @@
-"""Targets as the platform lists them."""
+"""Targets in the form of the platform's target list."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 @frozen
 class ListedTarget:
-    """A target of the list.
+    """A target in the target list.
 
     Parameters
     ----------
     target_id : str
         Identity of the target.
     service : str
-        Service that it belongs to.
+        Service that the target belongs to.
     address : str
         ``IP:port``.
     failure_domain : str
-        Where it runs.
+        Failure domain in which the target runs.
     slots : int
-        Requests that it runs at once.
+        Number of requests that the target runs concurrently.
     is_leaving : bool
-        Whether it gets no new work.
+        Whether the target gets no new work because it is leaving.
     born_ms : int
-        Unix milliseconds of its start, 0 if unknown. A target may start again
-        under its identity and then holds nothing of before.
+        Unix time in milliseconds of the target's start, 0 if unknown. A target may
+        restart under the same identity; its memory is then empty.
     models : tuple of ModelVersion
-        Weights that it runs.
+        Weights that the target runs.
     """
 
     target_id: str
--- a/berylnotch/membership/naming.py
+++ b/berylnotch/membership/naming.py
@@ -1,16 +1,20 @@
-"""When versions of weights were named, and how long an older one was outdated."""
+"""Announced versions of weights and the times of their announcement."""
 
 from __future__ import annotations
 
 from attrs import frozen
 
-#: Versions of a model that are remembered; older ones are outdated for long.
+#: Largest number of versions of a model that are kept; older ones were superseded
+#: long ago.
 MAX_VERSIONS = 16
 
 
 @frozen
 class NamedWeights:
-    """A named version of a model's weights, and how long ago that was, in ms."""
+    """An announced version of a model's weights.
+
+    ``age_ms`` is the time since its announcement in milliseconds.
+    """
 
     model: str
     version: int
@@ -18,37 +22,47 @@
 
 
 class WeightsNames:
-    """Named versions of each model, with the time at which each was heard of."""
+    """Announced versions of each model, with the time of each announcement.
+
+    Times are in seconds, on any one clock.
+    """
 
     def __init__(self) -> None:
-        self._named: dict[str, dict[int, float]] = {}
+        self._announced_at: dict[str, dict[int, float]] = {}
 
     def newest(self, model: str) -> int:
-        """Return the newest named version of a model, 0 if none was."""
-        return max(self._named.get(model, {}), default=0)
+        """Return the newest announced version of a model, 0 if there is none."""
+        return max(self._announced_at.get(model, {}), default=0)
 
     def versions(self) -> dict[str, int]:
-        """Return the newest named version of each model."""
-        return {model: max(named) for model, named in self._named.items()}
-
-    def note(self, model: str, version: int, at: float) -> bool:
-        """Note a named version; return whether it is the newest yet."""
-        named = self._named.setdefault(model, {})
-        is_newest = version > max(named, default=0)
-        named[version] = min(at, named.get(version, at))
-        while len(named) > MAX_VERSIONS:
-            del named[min(named)]
+        """Return the newest announced version of each model."""
+        return {model: max(times) for model, times in self._announced_at.items()}
+
+    def note(self, model: str, version: int, announced_at: float) -> bool:
+        """Record an announced version; return whether it is newer than all others.
+
+        The earliest time counts if a version is recorded several times.
+        """
+        times = self._announced_at.setdefault(model, {})
+        is_newest = version > max(times, default=0)
+        times[version] = min(announced_at, times.get(version, announced_at))
+        while len(times) > MAX_VERSIONS:
+            del times[min(times)]
         return is_newest
 
     def outdated_s(self, now: float, model: str, version: int) -> float:
-        """Return for how long there is a newer version than this one, 0 if none."""
-        newer = [at for v, at in self._named.get(model, {}).items() if v > version]
-        return now - min(newer) if newer else 0.0
+        """Return the seconds since a newer version was announced, 0 if none was."""
+        newer_times = [
+            announced_at
+            for v, announced_at in self._announced_at.get(model, {}).items()
+            if v > version
+        ]
+        return now - min(newer_times) if newer_times else 0.0
 
     def export(self, now: float) -> tuple[NamedWeights, ...]:
-        """Return all versions with their ages."""
+        """Return all kept versions with their ages."""
         return tuple(
-            NamedWeights(model, version, int((now - at) * 1000))
-            for model, named in sorted(self._named.items())
-            for version, at in sorted(named.items())
+            NamedWeights(model, version, int((now - announced_at) * 1000))
+            for model, times in sorted(self._announced_at.items())
+            for version, announced_at in sorted(times.items())
         )
--- a/berylnotch/membership/targets.py
+++ b/berylnotch/membership/targets.py
@@ -1,4 +1,4 @@
-"""Health and load of targets as one router sees them."""
+"""Health and load of targets as one router observes them."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 @frozen
 class LoadReport:
-    """A target's own report.
+    """A target's report of its own load.
 
     Parameters
     ----------
     incarnation : str
         Identity of the target's running process.
     measured_at : float
-        Router's monotonic time at which it was true, in seconds.
+        Monotonic time of the router in seconds at which the report was valid.
     queue_wait_s : float
-        Work that was queued then.
+        Seconds of work that were queued at that time.
     running : int
-        Requests that ran then.
+        Number of requests that ran at that time.
     leaving : bool
-        Whether the target says that it is leaving.
+        Whether the target signals that it is leaving.
     """
 
     incarnation: str
@@ -44,7 +44,11 @@
 
 @frozen
 class Dispatch:
-    """A request of this router at a target; ``work_s`` is its expected work."""
+    """A request that this router sent to a target.
+
+    ``sent_at`` is a monotonic time in seconds, ``work_s`` the expected work of the
+    request in seconds.
+    """
 
     target: str
     number: int
@@ -58,11 +62,11 @@
     lifecycle: TargetLifecycle = Factory(TargetLifecycle)
     report: LoadReport | None = None
     dispatches: dict[int, Dispatch] = Factory(dict)
-    waiting: dict[int, Dispatch] = Factory(dict)
+    awaiting_first_token: dict[int, Dispatch] = Factory(dict)
 
 
 class TargetHealth:
-    """In-flight requests, failures and load reports of every target.
+    """In-flight requests, failures and load reports of all targets.
 
     Parameters
     ----------
@@ -73,29 +77,32 @@
     def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
         self._records: dict[str, _TargetRecord] = {}
-        self._number = 0
-        self._out: set[str] = set()
+        self._last_number = 0
+        #: Targets that were ejected and may still be.
+        self._ejected_targets: set[str] = set()
         self._fleet: Fleet | None = None
-        self._names: dict[str, tuple[str, ...]] = {}
+        self._names_by_service: dict[str, tuple[str, ...]] = {}
 
     def begin(self, now: float, target: str, work_s: float) -> Dispatch:
-        """Count a request that is sent to ``target``."""
-        record = self._record(target)
-        self._number += 1
-        dispatch = Dispatch(target, self._number, now, work_s)
+        """Record a request that is sent to ``target``."""
+        record = self._get_record(target)
+        self._last_number += 1
+        dispatch = Dispatch(target, self._last_number, now, work_s)
         record.dispatches[dispatch.number] = dispatch
-        record.waiting[dispatch.number] = dispatch
+        record.awaiting_first_token[dispatch.number] = dispatch
         record.ejection.sent(now, dispatch.number)
         return dispatch
 
     def first_token(self, dispatch: Dispatch) -> None:
-        """Note that the target has computed the prompt."""
-        self._record(dispatch.target).waiting.pop(dispatch.number, None)
+        """Record that the target has finished the prefill of a request."""
+        self._get_record(dispatch.target).awaiting_first_token.pop(
+            dispatch.number, None
+        )
 
     def finish(self, now: float, dispatch: Dispatch, ok: bool) -> None:
-        """Count a request's end; ``ok`` is false if the target failed it."""
-        record = self._record(dispatch.target)
-        record.waiting.pop(dispatch.number, None)
+        """Record a request's end; ``ok`` is false if the target failed it."""
+        record = self._get_record(dispatch.target)
+        record.awaiting_first_token.pop(dispatch.number, None)
         if record.dispatches.pop(dispatch.number, None) is None:
             return
         if ok:
@@ -103,25 +110,28 @@
         else:
             record.ejection.failed(now, dispatch.number)
             if record.ejection.is_out:
-                self._out.add(dispatch.target)
+                self._ejected_targets.add(dispatch.target)
 
     def abandon(self, dispatch: Dispatch) -> None:
-        """Count a request's end that tells nothing, as when its caller left."""
-        record = self._record(dispatch.target)
-        record.waiting.pop(dispatch.number, None)
+        """Record the end of a request that says nothing about its target's health.
+
+        An example is a request whose caller disconnected.
+        """
+        record = self._get_record(dispatch.target)
+        record.awaiting_first_token.pop(dispatch.number, None)
         record.dispatches.pop(dispatch.number, None)
         record.ejection.abandoned(dispatch.number)
 
     def observe(self, target: str, incarnation: str, leaving: bool = False) -> bool:
-        """Take a target's own signal, as from an answer's head.
+        """Process a signal from a target itself, such as the headers of an answer.
 
         Returns
         -------
         bool
-            Whether it is a new process: what was known of the old one's
-            failures, load and cache is over.
+            Whether the signal came from a new process. The failures and the load
+            report of the old process are then discarded, and its cache is lost.
         """
-        record = self._record(target)
+        record = self._get_record(target)
         is_new = record.lifecycle.observe(incarnation, leaving)
         if is_new:
             record.ejection.clear()
@@ -129,33 +139,36 @@
         return is_new
 
     def report(self, target: str, report: LoadReport) -> bool:
-        """Take a load report; late ones are ignored.
+        """Store a load report; late reports are ignored.
 
         Returns
         -------
         bool
-            Whether it came from a new process.
+            Whether the report came from a new process.
         """
-        record = self._record(target)
-        if record.lifecycle.is_ended(report.incarnation):
+        record = self._get_record(target)
+        if record.lifecycle.is_replaced(report.incarnation):
             return False
         is_new = self.observe(target, report.incarnation, report.leaving)
-        last = record.report
-        if last is None or report.measured_at >= last.measured_at:
+        previous = record.report
+        if previous is None or report.measured_at >= previous.measured_at:
             record.report = report
         return is_new
 
     def names(self, view: View, service: str) -> tuple[str, ...]:
-        """Return a service's targets, the same object until the text changes."""
+        """Return the names of a service's targets.
+
+        The same object is returned until the configuration changes.
+        """
         if view.fleet is not self._fleet:
             self._fleet = view.fleet
-            self._names = {}
-            self._forget_removed()
-        found = self._names.get(service)
-        if found is None:
-            found = tuple(target.name for target in view.fleet.targets_of(service))
-            self._names[service] = found
-        return found
+            self._names_by_service = {}
+            self._discard_removed_targets()
+        names = self._names_by_service.get(service)
+        if names is None:
+            names = tuple(target.name for target in view.fleet.targets_of(service))
+            self._names_by_service[service] = names
+        return names
 
     def candidates(
         self,
@@ -164,7 +177,7 @@
         service: str,
         shortlist: tuple[str, ...] | None = None,
     ) -> tuple[Candidate, ...]:
-        """Build a service's candidates.
+        """Build the placement candidates of a service.
 
         Parameters
         ----------
@@ -175,45 +188,55 @@
         service : str
             Name of the service.
         shortlist : tuple of str, optional
-            Targets to look at. If fewer than half of them can get work, all of
-            the service are looked at.
+            Targets to consider. If fewer than half of them are usable, all targets
+            of the service are considered.
         """
         names = self.names(view, service)
-        ejected = self._ejected(now, names)
+        ejected = self._list_ejected(now, names)
         if shortlist is not None and len(shortlist) < len(names):
-            found = self._build(now, view, shortlist, ejected)
-            if 2 * sum(c.is_usable for c in found) >= len(found):
-                return found
-        return self._build(now, view, names, ejected)
+            candidates = self._build_candidates(now, view, shortlist, ejected)
+            if 2 * sum(c.is_usable for c in candidates) >= len(candidates):
+                return candidates
+        return self._build_candidates(now, view, names, ejected)
 
-    def _record(self, target: str) -> _TargetRecord:
+    def _get_record(self, target: str) -> _TargetRecord:
         record = self._records.get(target)
         if record is None:
             record = _TargetRecord(Ejection(self._settings))
             self._records[target] = record
         return record
 
-    def _forget_removed(self) -> None:
-        known = self._fleet.targets
-        gone = [n for n, r in self._records.items() if n not in known]
-        for name in gone:
+    def _discard_removed_targets(self) -> None:
+        """Remove the records of targets that are no longer configured.
+
+        A record with in-flight requests stays until a later configuration change.
+        """
+        configured = self._fleet.targets
+        removed = [n for n, r in self._records.items() if n not in configured]
+        for name in removed:
             if not self._records[name].dispatches:
                 del self._records[name]
-                self._out.discard(name)
+                self._ejected_targets.discard(name)
+
+    def _list_ejected(self, now: float, names: tuple[str, ...]) -> frozenset[str]:
+        """Return the targets of a service that are ejected now.
 
-    def _ejected(self, now: float, names: tuple[str, ...]) -> frozenset[str]:
-        """Return the targets left out now: at most a share of the service."""
+        They are at most a fraction of the service's targets. Beyond it, the targets
+        that may be probed first are not ejected.
+        """
         records = self._records
-        if not self._out:
+        if not self._ejected_targets:
             return frozenset()
-        self._out = {n for n in self._out if records[n].ejection.is_out}
-        blocked = {n for n in self._out if records[n].ejection.blocks(now)}
-        out = [name for name in names if name in blocked]
-        out.sort(key=lambda name: -records[name].ejection.until)
-        limit = int(len(names) * self._settings.eject_share)
-        return frozenset(out[:limit])
-
-    def _build(
+        self._ejected_targets = {
+            n for n in self._ejected_targets if records[n].ejection.is_out
+        }
+        blocked = {n for n in self._ejected_targets if records[n].ejection.blocks(now)}
+        ejected = [name for name in names if name in blocked]
+        ejected.sort(key=lambda name: -records[name].ejection.until)
+        max_ejected = int(len(names) * self._settings.max_ejected_fraction)
+        return frozenset(ejected[:max_ejected])
+
+    def _build_candidates(
         self,
         now: float,
         view: View,
@@ -222,18 +245,18 @@
     ) -> tuple[Candidate, ...]:
         targets = view.fleet.targets
         return tuple(
-            self._candidate(now, view, targets[name], name in ejected)
+            self._build_candidate(now, view, targets[name], name in ejected)
             for name in names
             if name in targets
         )
 
-    def _candidate(
-        self, now: float, view: View, target: Target, ejected: bool
+    def _build_candidate(
+        self, now: float, view: View, target: Target, is_ejected: bool
     ) -> Candidate:
         name = target.name
-        record = self._record(name)
-        drained = view.is_draining(Subject.TARGET, name)
-        listed = view.life_report(Subject.TARGET, name)
+        record = self._get_record(name)
+        is_drained = view.is_draining(Subject.TARGET, name)
+        platform_report = view.life_report(Subject.TARGET, name)
         return Candidate(
             name=name,
             incarnation=record.lifecycle.incarnation,
@@ -242,15 +265,21 @@
             queue_wait_s=self._queue_wait_s(now, record),
             in_flight=len(record.dispatches),
             capacity=target.capacity,
-            draining=not record.lifecycle.may_work(drained, listed),
-            ejected=ejected,
+            draining=not record.lifecycle.can_take_work(is_drained, platform_report),
+            ejected=is_ejected,
         )
 
     def _queue_wait_s(self, now: float, record: _TargetRecord) -> float:
+        """Return the expected wait for a new request at a target in seconds.
+
+        It is the reported wait less the time since the report, plus the expected work
+        of this router's requests that were sent after the report and have no first
+        token yet. Without a recent report, all requests without a first token count.
+        """
         report = record.report
-        waiting = record.waiting.values()
+        unstarted = record.awaiting_first_token.values()
         if report is None or now - report.measured_at > self._settings.report_max_age_s:
-            return sum(d.work_s for d in waiting)
-        aged = max(0.0, report.queue_wait_s - (now - report.measured_at))
-        since = (d.work_s for d in waiting if d.sent_at >= report.measured_at)
-        return aged + sum(since)
+            return sum(d.work_s for d in unstarted)
+        remaining_s = max(0.0, report.queue_wait_s - (now - report.measured_at))
+        sent_later = (d.work_s for d in unstarted if d.sent_at >= report.measured_at)
+        return remaining_s + sum(sent_later)
--- a/berylnotch/orders/__init__.py
+++ b/berylnotch/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Fenced orders to engines: weights, adapters, roles."""
+"""Orders to engines, protected by fencing tokens: weights, adapters, roles."""
--- a/berylnotch/orders/book.py
+++ b/berylnotch/orders/book.py
@@ -1,4 +1,4 @@
-"""Rollouts and the newest order to each engine."""
+"""Rollouts of services and the newest order to each engine."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class OrderBook:
-    """What engines shall hold and what they were ordered to do."""
+    """The newest rollout of each service and the newest order to each engine."""
 
     def __init__(self) -> None:
         self._rollouts: dict[str, RolloutRecord] = {}
@@ -27,7 +27,7 @@
         return self._orders
 
     def start(self, rollout: RolloutRecord) -> None:
-        """Replace a service's rollout; earlier failures no longer count."""
+        """Replace a service's rollout and reset its engines' failure counts."""
         self._rollouts[rollout.service] = rollout
         for target, order in self._orders.items():
             if order.service == rollout.service:
@@ -39,18 +39,22 @@
         return order is not None and not order.finished_ms
 
     def issue(self, order: OrderRecord) -> None:
-        """Note a new order; the engine must have none that runs."""
-        before = self._orders.get(order.target)
-        repeats = before is not None and before.version == order.version
-        failures = before.failures if repeats else 0
+        """Store a new order; the engine must not have a running order.
+
+        An order for the same version as the previous one keeps its failure count.
+        """
+        previous = self._orders.get(order.target)
+        is_retry = previous is not None and previous.version == order.version
+        failures = previous.failures if is_retry else 0
         self._orders[order.target] = evolve(order, failures=failures)
 
     def finish(self, target: str, at_ms: int, ok: bool, detail: str) -> None:
-        """Note the result of an engine's running order."""
+        """Store the result of an engine's running order."""
         order = self._orders[target]
         failures = 0 if ok else order.failures + 1
         self._orders[target] = evolve(
             order,
+            # 0 marks a running order.
             finished_ms=max(1, at_ms),
             ok=ok,
             failures=failures,
@@ -58,17 +62,17 @@
         )
 
     def prune(self, services: Mapping, targets: Mapping) -> None:
-        """Forget what belongs to services and targets that are gone."""
+        """Remove the records of services and targets that no longer exist."""
         self._rollouts = {k: v for k, v in self._rollouts.items() if k in services}
         self._orders = {k: v for k, v in self._orders.items() if k in targets}
 
     def records(self) -> Iterator[object]:
-        """Yield everything for a snapshot."""
+        """Yield all records for a snapshot."""
         yield from self._rollouts.values()
         yield from self._orders.values()
 
     def restore(self, record: RolloutRecord | OrderRecord) -> None:
-        """Take a record of a snapshot over."""
+        """Store a record that was read from a snapshot."""
         if isinstance(record, RolloutRecord):
             self._rollouts[record.service] = record
         else:
--- a/berylnotch/orders/rolling.py
+++ b/berylnotch/orders/rolling.py
@@ -1,4 +1,4 @@
-"""Which engines load newly named weights next."""
+"""Choice of the engines that load newly announced weights next."""
 
 from __future__ import annotations
 
@@ -8,28 +8,31 @@
 
 from berylnotch.membership.listing import ListedTarget
 
-#: Part of a service's engines that loads weights at the same time while there is
-#: little to do; beyond it each load takes longer.
-LOADING_PART = 0.4
+#: Largest fraction of a service's engines that loads weights at the same time while
+#: the service is not busy. With more concurrent loads each load takes longer.
+MAX_LOADING_FRACTION = 0.4
 
-#: The same while the engines are busy: those that stay serve cold for a while.
-BUSY_LOADING_PART = 0.2
+#: Largest fraction that loads at the same time while the service is busy, since an
+#: engine serves with a cold cache for a while after its load.
+MAX_BUSY_LOADING_FRACTION = 0.2
 
-#: Requests under way at each serving engine from which a service counts as busy, and
-#: the same as a part of an engine's slots; the larger one counts.
-BUSY_REQUESTS, BUSY_SLOTS_PART = 4.0, 0.25
+#: Mean number of in-flight requests for each serving engine at which a service counts
+#: as busy, and the same as a fraction of an engine's slots. The larger number applies.
+BUSY_REQUESTS, BUSY_SLOTS_FRACTION = 4.0, 0.25
 
-#: The same from which no further engine is taken away.
-FULL_REQUESTS, FULL_SLOTS_PART = 14.0, 0.5
+#: Mean number of in-flight requests for each serving engine, and the same as a
+#: fraction of an engine's slots, at which no further engine begins to load while
+#: another one loads. The larger number applies.
+FULL_REQUESTS, FULL_SLOTS_FRACTION = 14.0, 0.5
 
-#: Part of the time that operators allow on older weights after which an engine loads,
-#: however busy it is; the rest is for the loads themselves.
+#: Fraction of the time that operators allow on older weights after which an engine
+#: loads regardless of its load; the rest of that time is for the loads themselves.
 HURRY_PART = 0.4
 
 
 @frozen
 class WeightsLoad:
-    """An engine and the weights that it shall load."""
+    """An engine and the weights that it has to load."""
 
     target_id: str
     model: str
@@ -38,36 +41,38 @@
 
 def next_loads(
     targets: Collection[ListedTarget],
-    wanted: Mapping[str, int],
+    desired_versions: Mapping[str, int],
     loading: Collection[str],
-    held_back: Collection[str],
-    busy: Mapping[str, int],
+    unavailable: Collection[str],
+    in_flight: Mapping[str, int],
     outdated_s: Callable[[str, int], float] = lambda model, version: 0.0,
-    hurry_s: float = float("inf"),
+    overdue_after_s: float = float("inf"),
 ) -> tuple[WeightsLoad, ...]:
     """Return the loads that may begin now.
 
-    An engine goes straight to the newest version named. At most a part of a
-    service's engines loads at once, and at least one keeps serving. Engines
-    furthest behind go first.
+    An engine skips intermediate versions and loads the newest announced one. At most
+    a fraction of a service's engines loads at once, and at least one engine keeps
+    serving. The engines that are the most versions behind load first.
 
     Parameters
     ----------
     targets : collection of ListedTarget
         All targets.
-    wanted : mapping of str to int
-        Newest named version of each model.
+    desired_versions : mapping of str to int
+        Newest announced version of each model.
     loading : collection of str
         Targets that load now.
-    held_back : collection of str
-        Targets that wait after a failure, or cannot be reached.
-    busy : mapping of str to int
-        Requests under way at each target. An idle one loads sooner, since an
-        engine finishes its requests first.
+    unavailable : collection of str
+        Targets that back off after a failure or cannot be reached.
+    in_flight : mapping of str to int
+        Number of in-flight requests at each target. An idle engine loads sooner,
+        because an engine finishes its requests before it loads.
     outdated_s : callable
-        Returns for how long there is a newer version than a model's version.
-    hurry_s : float
-        Such a time from which an engine loads, however busy it is.
+        Returns the seconds since a model's version was superseded by a newer one, 0
+        if it was not.
+    overdue_after_s : float
+        Seconds after which engines with superseded weights load regardless of the
+        service's load.
     """
     loads: list[WeightsLoad] = []
     by_service: dict[str, list[ListedTarget]] = {}
@@ -76,54 +81,67 @@
             by_service.setdefault(target.service, []).append(target)
     for service in sorted(by_service):
         engines = by_service[service]
-        is_late = any(
-            outdated_s(model.name, model.version) > hurry_s
+        is_overdue = any(
+            outdated_s(model.name, model.version) > overdue_after_s
             for engine in engines
             for model in engine.models
-            if engine.target_id not in held_back
+            if engine.target_id not in unavailable
         )
-        room = _room(engines, loading, held_back, {} if is_late else busy)
-        outdated = _outdated(engines, wanted, {*loading, *held_back}, busy)
-        loads.extend(outdated[:room])
+        max_new_loads = _count_allowed_loads(
+            engines, loading, unavailable, {} if is_overdue else in_flight
+        )
+        pending = _list_pending_loads(
+            engines, desired_versions, {*loading, *unavailable}, in_flight
+        )
+        loads.extend(pending[:max_new_loads])
     return tuple(loads)
 
 
-def _room(
+def _count_allowed_loads(
     engines: list[ListedTarget],
     loading: Collection[str],
-    held_back: Collection[str],
-    busy: Mapping[str, int],
+    unavailable: Collection[str],
+    in_flight: Mapping[str, int],
 ) -> int:
-    """Return how many more engines may load."""
-    healthy = [e for e in engines if e.target_id not in held_back]
-    under_way = sum(engine.target_id in loading for engine in healthy)
-    serving = max(1, len(healthy) - under_way)
-    requests = sum(busy.get(engine.target_id, 0) for engine in healthy) / serving
+    """Return how many more engines of a service may begin to load."""
+    healthy = [e for e in engines if e.target_id not in unavailable]
+    loading_count = sum(engine.target_id in loading for engine in healthy)
+    serving_count = max(1, len(healthy) - loading_count)
+    requests = (
+        sum(in_flight.get(engine.target_id, 0) for engine in healthy) / serving_count
+    )
     slots = max((engine.slots for engine in healthy), default=0)
-    if requests >= max(FULL_REQUESTS, FULL_SLOTS_PART * slots) and under_way:
+    if requests >= max(FULL_REQUESTS, FULL_SLOTS_FRACTION * slots) and loading_count:
         return 0
-    is_busy = requests >= max(BUSY_REQUESTS, BUSY_SLOTS_PART * slots)
-    part = BUSY_LOADING_PART if is_busy else LOADING_PART
-    most = max(1, int(len(healthy) * part))
+    is_busy = requests >= max(BUSY_REQUESTS, BUSY_SLOTS_FRACTION * slots)
+    fraction = MAX_BUSY_LOADING_FRACTION if is_busy else MAX_LOADING_FRACTION
+    max_loading = max(1, int(len(healthy) * fraction))
     if len(healthy) > 1:
-        most = min(most, len(healthy) - 1)
-    return max(0, most - under_way)
+        max_loading = min(max_loading, len(healthy) - 1)
+    return max(0, max_loading - loading_count)
 
 
-def _outdated(
+def _list_pending_loads(
     engines: list[ListedTarget],
-    wanted: Mapping[str, int],
+    desired_versions: Mapping[str, int],
     excluded: set[str],
-    busy: Mapping[str, int],
+    in_flight: Mapping[str, int],
 ) -> list[WeightsLoad]:
-    behind = []
+    """Return the loads of outdated engines, the most urgent first."""
+    pending = []
     for engine in engines:
         if engine.target_id in excluded:
             continue
         for model in engine.models:
-            missing = wanted.get(model.name, 0) - model.version
-            if missing > 0:
-                load = WeightsLoad(engine.target_id, model.name, wanted[model.name])
-                order = (-missing, busy.get(engine.target_id, 0), engine.target_id)
-                behind.append((order, load))
-    return [load for _, load in sorted(behind, key=lambda item: item[0])]
+            versions_behind = desired_versions.get(model.name, 0) - model.version
+            if versions_behind > 0:
+                load = WeightsLoad(
+                    engine.target_id, model.name, desired_versions[model.name]
+                )
+                sort_key = (
+                    -versions_behind,
+                    in_flight.get(engine.target_id, 0),
+                    engine.target_id,
+                )
+                pending.append((sort_key, load))
+    return [load for _, load in sorted(pending, key=lambda item: item[0])]
--- a/berylnotch/orders/scheduler.py
+++ b/berylnotch/orders/scheduler.py
@@ -1,4 +1,4 @@
-"""Which orders the leader issues next, and which orders are allowed at all."""
+"""Choice of the next orders that the leader issues, and the rules for orders."""
 
 from __future__ import annotations
 
@@ -8,12 +8,14 @@
 
 from berylnotch.control.commands import IssueOrder
 
-#: Most engines of a service that load weights at the same time.
+#: Largest number of engines of a service that load weights at the same time.
 MAX_LOADING = 2
-#: Failures of an engine in a row, after which only an operator goes on.
+#: Consecutive failures of an engine after which no further order is issued until an
+#: operator starts a new rollout.
 MAX_FAILURES = 3
-#: Wait after the n-th failure of an engine in a row, n times, in milliseconds.
-FAILURE_WAIT_MS = 10_000
+#: Back-off in milliseconds after an engine's failure, multiplied by the number of its
+#: consecutive failures.
+FAILURE_BACKOFF_MS = 10_000
 
 
 @frozen
@@ -23,23 +25,24 @@
     Parameters
     ----------
     name : str
-        Target's name.
+        Name of the target.
     service : str
-        Its service.
+        Service that the engine belongs to.
     version : str
-        Weights version, empty if it holds none or loads.
+        Weights version; empty if the engine holds no weights or loads.
     is_live : bool
-        Whether it can be reached.
+        Whether the control state reports the engine as live.
     is_draining : bool
-        Whether an operator keeps new work away from it.
-    is_ordered : bool
-        Whether an order to it has no result yet.
+        Whether an operator drains the engine.
+    has_running_order : bool
+        Whether an order to the engine has no result yet.
     checks_orders : bool
-        Whether it refuses an order with an old fencing number.
+        Whether the engine refuses an order with an old fencing token.
     failures : int
-        Orders that failed in a row.
+        Number of consecutive failed orders.
     finished_ms : int
-        When its newest order had a result, 0 if never.
+        Unix time in milliseconds at which the newest order got its result, 0 if there
+        is none.
     """
 
     name: str
@@ -47,53 +50,59 @@
     version: str
     is_live: bool = True
     is_draining: bool = False
-    is_ordered: bool = False
+    has_running_order: bool = False
     checks_orders: bool = False
     failures: int = 0
     finished_ms: int = 0
 
     @property
     def is_serving(self) -> bool:
-        """Whether it gets requests."""
-        ready = self.is_live and not self.is_draining
-        return ready and bool(self.version) and not self.is_ordered
+        """Whether the engine gets requests."""
+        is_available = self.is_live and not self.is_draining
+        return is_available and bool(self.version) and not self.has_running_order
 
 
 @frozen
 class OrderState:
-    """All engines and what their services shall hold.
+    """All engines and the weights versions that their services have to hold.
 
     Parameters
     ----------
     engines : tuple of Engine
-        In the order of the text.
+        In the order of the configuration.
     versions : mapping of str to str
-        Version that each service in a rollout shall hold.
+        Version that each service with a rollout has to hold.
     dependencies : mapping of str to tuple of str
-        Services that each service requires or may use.
-    newest_issue_ms : int
-        When the newest order was issued.
+        Services that each service requires or optionally uses.
+    last_issued_ms : int
+        Unix time in milliseconds at which the newest order was issued.
     loads_per_min : float
-        Rate of the weight store.
+        Loads per minute that the weight store allows.
     """
 
     engines: tuple[Engine, ...] = ()
     versions: Mapping[str, str] = field(factory=dict)
     dependencies: Mapping[str, tuple[str, ...]] = field(factory=dict)
-    newest_issue_ms: int = 0
+    last_issued_ms: int = 0
     loads_per_min: float = 30.0
 
 
 @frozen
 class Leadership:
-    """Since when this controller leads, and how long a lease can last."""
+    """When this controller became leader, and the longest lease of a leader.
+
+    ``since_ms`` is a Unix time in milliseconds, ``lease_ms`` a duration in
+    milliseconds.
+    """
 
     since_ms: int
     lease_ms: int
 
 
 def refusal(engine: Engine, engines: Iterable[Engine]) -> str:
-    """Return why an engine must not be ordered to load, or an empty string.
+    """Return the reason why an engine must not be ordered to load, if any.
+
+    The reason is an empty string if the order is allowed.
 
     Parameters
     ----------
@@ -102,14 +111,14 @@
     engines : iterable of Engine
         All engines of its service, itself included.
     """
-    if engine.is_ordered:
+    if engine.has_running_order:
         return f"{engine.name} has an order that runs"
     if not engine.is_live:
         return f"{engine.name} is not live"
     others = [other for other in engines if other.name != engine.name]
-    loading = sum(other.is_ordered for other in others)
-    if loading >= MAX_LOADING:
-        return f"{loading} engines of {engine.service} load already"
+    loading_count = sum(other.has_running_order for other in others)
+    if loading_count >= MAX_LOADING:
+        return f"{loading_count} engines of {engine.service} load already"
     if engine.is_serving and not any(other.is_serving for other in others):
         return f"{engine.name} is the last engine of {engine.service} that serves"
     return ""
@@ -120,25 +129,25 @@
 ) -> tuple[IssueOrder, ...]:
     """Return the orders that the leader may issue now.
 
-    At most one is returned, because each changes what the next one may do;
-    the weight store's rate paces them.
+    At most one order is returned, because each order changes which orders are allowed
+    after it. The rate of the weight store limits the rate of orders.
 
     Parameters
     ----------
     now_ms : int
-        Unix time, as in `Proposal.at_ms`.
+        Unix time in milliseconds, as in `Proposal.at_ms`.
     state : OrderState
-        State after everything that is committed.
+        State after all committed commands.
     leadership : Leadership
-        Of the controller that asks.
+        Leadership of the calling controller.
     """
-    if now_ms - state.newest_issue_ms < 60_000 / state.loads_per_min:
+    if now_ms - state.last_issued_ms < 60_000 / state.loads_per_min:
         return ()
-    for engine in _candidates(state):
-        if not may_send(now_ms, engine, leadership) or _waits(now_ms, engine):
+    for engine in _sort_outdated_engines(state):
+        if not may_send(now_ms, engine, leadership) or _is_backing_off(now_ms, engine):
             continue
-        service = [e for e in state.engines if e.service == engine.service]
-        if not refusal(engine, service):
+        service_engines = [e for e in state.engines if e.service == engine.service]
+        if not refusal(engine, service_engines):
             version = state.versions[engine.service]
             return (IssueOrder(engine.name, engine.service, version),)
     return ()
@@ -147,63 +156,71 @@
 def may_send(now_ms: int, engine: Engine, leadership: Leadership) -> bool:
     """Tell whether this leader may send an order to an engine.
 
-    An engine that ignores fencing numbers would also obey a previous leader.
-    That one stops when its lease ends, so its lease is waited out.
+    An engine that does not check fencing tokens would also obey a previous leader. A
+    previous leader stops sending orders when its lease ends, so orders to such an
+    engine wait until that lease must have ended.
     """
-    waited = now_ms - leadership.since_ms >= leadership.lease_ms
-    return engine.checks_orders or waited
+    is_lease_over = now_ms - leadership.since_ms >= leadership.lease_ms
+    return engine.checks_orders or is_lease_over
 
 
 def blocked_services(state: OrderState) -> Mapping[str, str]:
     """Return the services whose rollout has to wait, with the reason."""
-    found = {}
+    blocked = {}
     for service in state.versions:
         reason = _service_refusal(service, state)
         if reason:
-            found[service] = reason
-    return found
+            blocked[service] = reason
+    return blocked
 
 
-def _candidates(state: OrderState) -> Iterator[Engine]:
+def _sort_outdated_engines(state: OrderState) -> Iterator[Engine]:
     blocked = blocked_services(state)
     outdated = [
         engine
         for engine in state.engines
         if _is_outdated(engine, state) and engine.service not in blocked
     ]
-    # Engines that serve nothing come first: loading them costs no capacity.
+    # Engines that do not serve come first: their loads cost no capacity.
     yield from sorted(outdated, key=lambda engine: engine.is_serving)
 
 
 def _is_outdated(engine: Engine, state: OrderState) -> bool:
-    wanted = state.versions.get(engine.service)
-    return wanted is not None and engine.version != wanted
+    desired_version = state.versions.get(engine.service)
+    return desired_version is not None and engine.version != desired_version
 
 
 def _service_refusal(service: str, state: OrderState) -> str:
+    """Return the reason why a service's rollout has to wait, if any.
+
+    A dependency's engine that is not live, or failed too often, does not block, since
+    its rollout cannot finish by itself.
+    """
     for name in sorted(_dependencies(service, state)):
-        unfinished = any(
+        is_unfinished = any(
             engine.service == name and _is_outdated(engine, state)
             for engine in state.engines
             if engine.is_live and engine.failures < MAX_FAILURES
         )
-        if unfinished:
+        if is_unfinished:
             return f"waits for the rollout of {name}"
     return ""
 
 
 def _dependencies(service: str, state: OrderState) -> set[str]:
-    found: set[str] = set()
+    """Return the direct and indirect dependencies of a service."""
+    dependencies: set[str] = set()
     queue = [service]
     while queue:
         for name in state.dependencies.get(queue.pop(), ()):
-            if name not in found:
-                found.add(name)
+            if name not in dependencies:
+                dependencies.add(name)
                 queue.append(name)
-    return found
+    return dependencies
 
 
-def _waits(now_ms: int, engine: Engine) -> bool:
+def _is_backing_off(now_ms: int, engine: Engine) -> bool:
+    """Tell whether earlier failures forbid an order to an engine now."""
     if engine.failures >= MAX_FAILURES:
         return True
-    return now_ms - engine.finished_ms < engine.failures * FAILURE_WAIT_MS
+    return now_ms - engine.finished_ms < engine.failures * FAILURE_BACKOFF_MS
--- a/tests/test_group/test_columns.py
+++ b/tests/test_group/test_columns.py
@@ -1,9 +1,9 @@
-"""Compact forms of what the leader sends to every router."""
+"""Compact encodings of the leader's messages to every router."""
 
 import pytest
 
 from berylnotch.group.columns import (
-    STEPS_A_DOUBLING,
+    STEPS_PER_DOUBLING,
     TOKEN_UNIT,
     NumberedTargets,
     TargetNumbers,
@@ -22,11 +22,11 @@
 from berylnotch.membership.listing import ListedTarget
 from berylnotch.transport.packing import pack, unpack
 
-#: Engines of the users' target of two years.
+#: Number of engines that the fleet must support within two years.
 ENGINES = 850
 
-#: Half a step of the scale of unread tokens.
-UNREAD_PART = 2 ** (0.5 / STEPS_A_DOUBLING) - 1
+#: Relative error of half a step on the scale of unread tokens.
+UNREAD_TOLERANCE = 2 ** (0.5 / STEPS_PER_DOUBLING) - 1
 
 STORE = "10.0.0.9:8604"
 
@@ -44,21 +44,21 @@
 
 
 @pytest.fixture
-def told(numbers):
-    """A function that tells a router of the numbers of targets."""
+def send_numbers(numbers):
+    """Return a function that sends the numbers of targets to a router."""
     router = NumberedTargets()
 
-    def tell(names, **changes):
+    def send(names, **changes):
         numbers.add(names)
         update = numbers.told(_update(names, **changes))
         router.take(unpack(pack(update), ROUTER_MESSAGES))
         return router
 
-    return tell
+    return send
 
 
-def test_loads_arrive_by_identity(numbers, told):
-    router = told(["a", "b", "c"])
+def test_loads_are_decoded_by_target_identity(numbers, send_numbers):
+    router = send_numbers(["a", "b", "c"])
     update = LoadsUpdate((TargetLoad("a", 5, 900), TargetLoad("c", 0, 17_000)), ("b",))
     read = router.loads(load_columns(update, numbers))
     assert [(load.target_id, load.requests) for load in read.loads] == [
@@ -66,36 +66,36 @@
         ("c", 0),
     ]
     assert [load.unread for load in read.loads] == [
-        pytest.approx(900, rel=UNREAD_PART),
-        pytest.approx(17_000, rel=UNREAD_PART),
+        pytest.approx(900, rel=UNREAD_TOLERANCE),
+        pytest.approx(17_000, rel=UNREAD_TOLERANCE),
     ]
     assert read.suspects == ("b",)
 
 
-def test_unread_tokens_are_none_only_if_there_are_none(numbers, told):
-    router = told(["a", "b"])
+def test_unread_tokens_decode_to_zero_only_if_there_are_none(numbers, send_numbers):
+    router = send_numbers(["a", "b"])
     update = LoadsUpdate((TargetLoad("a", 1, 0), TargetLoad("b", 1, 1)))
-    none, one = router.loads(load_columns(update, numbers)).loads
-    assert none.unread == 0
-    assert 0 < one.unread <= TOKEN_UNIT
+    without_tokens, with_tokens = router.loads(load_columns(update, numbers)).loads
+    assert without_tokens.unread == 0
+    assert 0 < with_tokens.unread <= TOKEN_UNIT
 
 
-def test_more_than_a_byte_holds_is_cut(numbers, told):
-    router = told(["a"])
+def test_values_above_the_range_of_a_byte_are_limited(numbers, send_numbers):
+    router = send_numbers(["a"])
     update = LoadsUpdate((TargetLoad("a", 1000, 10_000_000),))
     (load,) = router.loads(load_columns(update, numbers)).loads
     assert load.requests == 255
     assert load.unread > 900_000
 
 
-def test_targets_that_are_not_listed_are_left_out(numbers, told):
-    router = told(["a"])
+def test_unlisted_targets_are_omitted(numbers, send_numbers):
+    router = send_numbers(["a"])
     update = LoadsUpdate((TargetLoad("x", 3, 100),), ("x",))
     assert router.loads(load_columns(update, numbers)) == LoadsUpdate(())
 
 
-def test_numbers_of_another_leader_say_nothing(numbers, told):
-    router = told(["a"])
+def test_numbers_of_another_leader_are_ignored(numbers, send_numbers):
+    router = send_numbers(["a"])
     other = TargetNumbers()
     other.add(["b"])
     columns = load_columns(LoadsUpdate((TargetLoad("b", 3),)), other)
@@ -104,8 +104,8 @@
     assert router.notes(note_records(notes, other)) == (notes[1],)
 
 
-def test_a_new_leader_numbers_anew(numbers, told):
-    router = told(["a", "b"])
+def test_numbers_of_a_new_leader_replace_the_old_ones(numbers, send_numbers):
+    router = send_numbers(["a", "b"])
     other = TargetNumbers()
     other.add(["b"])
     router.take(other.told(_update(["b"], is_whole=False)))
@@ -113,8 +113,8 @@
     assert router.loads(columns) == LoadsUpdate((TargetLoad("b", 3),))
 
 
-def test_a_freed_number_goes_to_the_next_target(numbers, told):
-    router = told(["a", "b", "c"])
+def test_a_freed_number_is_assigned_to_the_next_target(numbers, send_numbers):
+    router = send_numbers(["a", "b", "c"])
     numbers.keep(["a", "c"])
     assert numbers.number("b") is None
     numbers.keep(["a", "c", "d"])
@@ -124,8 +124,8 @@
     assert router.loads(columns) == LoadsUpdate((TargetLoad("d", 2),))
 
 
-def test_notes_arrive_as_their_own_router_expects_them(numbers, told):
-    router = told(["a", "b"])
+def test_a_router_recognises_its_own_decoded_notes(numbers, send_numbers):
+    router = send_numbers(["a", "b"])
     notes = (
         PromptNote(7, 13_300, "b", 3_721, is_ready=False, unread=17_021),
         PromptNote(2**32 - 1, 13_300, "a"),
@@ -141,7 +141,7 @@
         assert 0 <= after.unread - before.unread < TOKEN_UNIT
 
 
-def test_loads_of_the_largest_fleet_fit_a_small_message(numbers):
+def test_load_columns_of_the_largest_fleet_are_small(numbers):
     names = [f"i-{n:010x}" for n in range(ENGINES)]
     numbers.add(names)
     loads = (TargetLoad(name, n % 24, n * 37 % 40_000) for n, name in enumerate(names))
--- a/tests/test_group/test_state.py
+++ b/tests/test_group/test_state.py
@@ -14,7 +14,7 @@
 from berylnotch.transport.packing import pack
 
 
-def test_versions_only_rise():
+def test_versions_never_decrease():
     state = FleetState()
     state.apply(pack(PutConfiguration(5, b"five")))
     state.apply(pack(PutConfiguration(5, b"other content")))
@@ -41,7 +41,7 @@
         FleetState().apply(b"\x93nonsense")
 
 
-def test_only_the_holder_gives_orders_back():
+def test_only_the_holder_releases_the_order_right():
     state = FleetState()
     state.apply(pack(TakeOrders("core-2")))
     state.apply(pack(GiveBackOrders("core-1")))
--- a/tests/test_membership/test_addresses.py
+++ b/tests/test_membership/test_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses that callers are led to."""
+"""Choice of the VM addresses for a caller."""
 
 from __future__ import annotations
 
@@ -44,35 +44,37 @@
     return make_view()
 
 
-def test_every_caller_of_an_organisation_gets_the_same_few(view):
-    sets = {frozenset(answer(view, "label", d, SETTINGS).addresses) for d in DOMAINS}
-    assert len(sets) == 1
-    assert len(sets.pop()) == 3
+def test_all_callers_of_an_organisation_get_the_same_vms(view):
+    address_sets = {
+        frozenset(answer(view, "label", d, SETTINGS).addresses) for d in DOMAINS
+    }
+    assert len(address_sets) == 1
+    assert len(address_sets.pop()) == 3
     assert answer(view, "label", "", SETTINGS).keep_s == 20
 
 
 @given(st.text(max_size=8), st.sampled_from(DOMAINS), st.sets(st.integers(0, 8)))
-def test_leaving_vms_are_left_out_and_near_ones_come_first(name, domain, leaving):
+def test_leaving_vms_are_omitted_and_near_ones_come_first(name, domain, leaving):
     view = make_view()
     view.states.update({f"vm-{i}": LifeState.LEAVING for i in leaving})
-    found = answer(view, name, domain, SETTINGS).addresses
+    addresses = answer(view, name, domain, SETTINGS).addresses
     vms = {vm.address: vm for vm in view.fleet.vms.values()}
     if len(leaving) < 9:
-        assert not {vms[a].name for a in found} & set(view.states)
-    near = [vms[a].failure_domain == domain for a in found]
-    assert near == sorted(near, reverse=True)
+        assert not {vms[a].name for a in addresses} & set(view.states)
+    is_near = [vms[a].failure_domain == domain for a in addresses]
+    assert is_near == sorted(is_near, reverse=True)
 
 
 @given(st.text(max_size=8))
-def test_the_vms_of_an_organisation_lie_in_different_domains(name):
+def test_the_vms_of_an_organisation_are_in_different_failure_domains(name):
     view = make_view()
     vms = {vm.address: vm for vm in view.fleet.vms.values()}
-    found = answer(view, name, "", SETTINGS).addresses
-    assert len({vms[a].failure_domain for a in found}) == 3
+    addresses = answer(view, name, "", SETTINGS).addresses
+    assert len({vms[a].failure_domain for a in addresses}) == 3
 
 
 @given(st.text(max_size=8), st.integers(0, 8))
-def test_only_organisations_of_a_lost_vm_move(name, lost):
+def test_a_lost_vm_changes_only_the_addresses_of_its_organisations(name, lost):
     view = make_view()
     before = set(answer(view, name, "", SETTINGS).addresses)
     view.drained.add(f"vm-{lost}")
@@ -82,7 +84,7 @@
     assert len(before - after) <= 2
 
 
-def test_callers_of_a_large_organisation_spread_over_more(view):
+def test_callers_of_a_large_organisation_spread_over_more_vms(view):
     view = make_view(20, {"university": 9_000, "clinic": 1_000})
     university = {
         address
--- a/tests/test_membership/test_board.py
+++ b/tests/test_membership/test_board.py
@@ -1,7 +1,7 @@
-"""The leader's picture of the targets."""
+"""The leader's state of the targets: list, engine reports and leaving notices."""
 
 from berylnotch.group.messages import LeavingWord
-from berylnotch.membership.board import OWN_WORD_S, TargetBoard
+from berylnotch.membership.board import ENGINE_REPORT_PRECEDENCE_S, TargetBoard
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 
 
@@ -14,17 +14,17 @@
     return board.target("t").models[0].version
 
 
-def test_an_engines_own_word_outlasts_the_late_list():
+def test_an_engine_report_takes_precedence_over_a_late_list():
     board = TargetBoard()
     board.listed(0.0, (engine(1),))
     board.loaded(1.0, "t", ModelVersion("m", 2))
     board.listed(1.5, (engine(1),))
     assert version_of(board) == 2
-    board.listed(1.0 + OWN_WORD_S + 1, (engine(1),))
+    board.listed(1.0 + ENGINE_REPORT_PRECEDENCE_S + 1, (engine(1),))
     assert version_of(board) == 1
 
 
-def test_a_restarted_engine_is_taken_as_listed():
+def test_the_report_of_an_earlier_start_does_not_apply():
     board = TargetBoard()
     board.listed(0.0, (engine(1),))
     board.loaded(1.0, "t", ModelVersion("m", 2))
@@ -32,7 +32,7 @@
     assert version_of(board) == 1
 
 
-def test_loading_ends_with_the_target():
+def test_an_unlisted_target_no_longer_counts_as_loading():
     board = TargetBoard()
     board.listed(0.0, (engine(1),))
     board.began_loading(0.0, "t")
@@ -48,37 +48,37 @@
     )
 
 
-def leaving(board):
+def leaving_ids(board):
     return {e.target.target_id for e in board.entries() if e.target.is_leaving}
 
 
-def test_a_target_that_told_a_router_that_it_leaves_is_shown_so_to_all():
+def test_all_routers_see_a_target_as_leaving_that_told_one_router():
     board = TargetBoard()
     board.listed(0.0, fleet(4))
     assert board.said_leaving("r1", (LeavingWord("t1", 1),))
     assert not board.said_leaving("r1", (LeavingWord("t1", 1),))
-    assert leaving(board) == {"t1"}
+    assert leaving_ids(board) == {"t1"}
     board.listed(1.0, fleet(4))
-    assert leaving(board) == {"t1"}
+    assert leaving_ids(board) == {"t1"}
 
 
-def test_the_word_of_an_earlier_start_says_nothing():
+def test_a_leaving_notice_of_an_earlier_start_is_ignored():
     board = TargetBoard()
     board.listed(0.0, fleet(4))
     assert not board.said_leaving("r1", (LeavingWord("t1", 0), LeavingWord("x", 1)))
-    assert leaving(board) == set()
+    assert leaving_ids(board) == set()
 
 
-def test_one_router_cannot_empty_a_service_but_two_can():
-    board, words = TargetBoard(), [LeavingWord(f"t{n}", 1) for n in range(4)]
+def test_one_router_cannot_mark_a_whole_service_as_leaving_but_two_can():
+    board, notices = TargetBoard(), [LeavingWord(f"t{n}", 1) for n in range(4)]
     board.listed(0.0, fleet(4))
-    board.said_leaving("r1", words)
-    assert leaving(board) == {"t0", "t1"}
-    board.said_leaving("r2", words)
-    assert leaving(board) == {"t0", "t1", "t2", "t3"}
+    board.said_leaving("r1", notices)
+    assert leaving_ids(board) == {"t0", "t1"}
+    board.said_leaving("r2", notices)
+    assert leaving_ids(board) == {"t0", "t1", "t2", "t3"}
 
 
-def test_a_target_is_emptied_until_it_loads():
+def test_a_target_is_marked_as_emptying_until_it_loads():
     board = TargetBoard()
     board.listed(0.0, fleet(2))
     board.began_emptying("t1")
--- a/tests/test_membership/test_crashes.py
+++ b/tests/test_membership/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash their targets."""
+"""Detection of requests that crash their targets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         guard.began(request, target)
 
 
-def test_request_is_refused_after_the_second_engine():
+def test_request_is_refused_after_the_second_lost_engine():
     guard = make_guard()
     guard.lost(0.0, "engine-1", [POISON])
     guard.lost(5.0, "engine-1", [POISON])
@@ -31,7 +31,7 @@
     assert guard.is_refused(6.0, POISON)
 
 
-def test_losses_seen_by_other_routers_count():
+def test_losses_reported_by_other_routers_count():
     guard = make_guard()
     assert not guard.is_refused(0.0, POISON, frozenset({"engine-1"}))
     assert guard.is_refused(0.0, POISON, frozenset({"engine-1", "engine-2"}))
@@ -39,13 +39,13 @@
     assert guard.is_refused(0.0, POISON, frozenset({"engine-1"}))
 
 
-def test_neighbours_of_both_losses_are_not_blamed():
+def test_requests_that_ran_together_on_both_lost_engines_are_not_blamed():
     guard = make_guard()
     both = [POISON, INNOCENT[0]]
     run_together(guard, "engine-1", both)
     assert set(guard.lost(0.0, "engine-1").reported) == set(both)
     run_together(guard, "engine-2", both)
-    # Each connection reports the same loss.
+    # Each connection to the lost target reports the same loss.
     for request in both:
         assert guard.lost(1.0, "engine-2", [request]).blamed == ()
     assert not any(guard.is_refused(1.0, request) for request in both)
@@ -57,7 +57,7 @@
 
 
 @given(st.sets(st.sampled_from(INNOCENT)), st.randoms(use_true_random=False))
-def test_poison_takes_two_engines_and_no_neighbour_is_refused(innocent, rng):
+def test_poison_request_crashes_two_engines_and_no_other_is_refused(innocent, rng):
     guard = make_guard()
     run_together(guard, "engine-0", [POISON, *innocent])
     guard.lost(0.0, "engine-0")
@@ -84,8 +84,8 @@
 
 
 @given(st.integers(1, 20), st.integers(1, 60))
-def test_memory_is_bounded_and_suspicion_ends(limit, count):
-    guard = make_guard(crash_max=limit, crash_keep_s=10.0)
+def test_memory_is_bounded_and_suspicions_expire(limit, count):
+    guard = make_guard(max_suspicions=limit, crash_retention_s=10.0)
     requests = [fingerprint("clinic", bytes([i])) for i in range(count)]
     for request in requests:
         guard.lost(0.0, "engine-1", [request])
--- a/tests/test_orders/test_rolling.py
+++ b/tests/test_orders/test_rolling.py
@@ -1,4 +1,4 @@
-"""Which engines load new weights next."""
+"""Choice of the engines that load new weights next."""
 
 from attrs import evolve
 from hypothesis import given
@@ -17,30 +17,30 @@
     ]
 
 
-def ids(loads):
+def target_ids(loads):
     return [load.target_id for load in loads]
 
 
-def test_two_of_five_load_at_once():
+def test_at_most_two_of_five_engines_load_at_once():
     targets = engines(1, 1, 1, 1, 1)
     loads = next_loads(targets, {"m": 2}, (), (), {})
     assert len(loads) == 2
-    assert ids(next_loads(targets, {"m": 2}, ("e0", "e1"), (), {})) == []
+    assert target_ids(next_loads(targets, {"m": 2}, ("e0", "e1"), (), {})) == []
 
 
-def test_versions_between_are_skipped_and_the_oldest_go_first():
+def test_intermediate_versions_are_skipped_and_the_most_outdated_load_first():
     loads = next_loads(engines(3, 1, 2, 3, 4), {"m": 4}, (), (), {})
-    assert ids(loads) == ["e1", "e2"]
+    assert target_ids(loads) == ["e1", "e2"]
     assert {load.version for load in loads} == {4}
 
 
-def test_idle_engines_go_before_busy_ones():
+def test_idle_engines_load_before_busy_ones():
     busy = {"e0": 4, "e1": 0, "e2": 3, "e3": 1, "e4": 4}
     loads = next_loads(engines(1, 1, 1, 1, 1), {"m": 2}, (), (), busy)
-    assert ids(loads) == ["e1", "e3"]
+    assert target_ids(loads) == ["e1", "e3"]
 
 
-def test_busy_engines_load_one_at_a_time_and_full_ones_wait():
+def test_busy_engines_load_one_at_a_time_and_full_ones_wait_for_the_running_load():
     targets = engines(1, 1, 1, 1, 1)
     busy = {f"e{n}": 8 for n in range(5)}
     assert len(next_loads(targets, {"m": 2}, (), (), busy)) == 1
@@ -49,25 +49,25 @@
     assert len(next_loads(targets, {"m": 2}, (), (), full)) == 1
 
 
-def test_no_engine_follows_when_more_load_than_the_load_allows_now():
+def test_no_load_begins_while_more_engines_load_than_a_busy_service_allows():
     targets = engines(1, 1, 1, 1, 1)
     busy = {f"e{n}": 8 for n in range(5)}
     assert next_loads(targets, {"m": 2}, ("e0", "e1"), (), busy) == ()
 
 
-def test_engines_out_of_reach_count_as_missing():
+def test_unreachable_engines_do_not_count_for_the_loading_fraction():
     targets = engines(1, 1, 1, 1, 1)
     assert len(next_loads(targets, {"m": 2}, (), ("e4",), {})) == 1
 
 
-def test_held_back_and_leaving_engines_get_no_order():
+def test_unavailable_and_leaving_engines_do_not_load():
     targets = engines(1, 1, 1, 1, 1)
     targets[2] = evolve(targets[2], is_leaving=True)
     loads = next_loads(targets, {"m": 2}, (), ("e0", "e1"), {})
-    assert "e2" not in ids(loads) and not {"e0", "e1"} & set(ids(loads))
+    assert "e2" not in target_ids(loads) and not {"e0", "e1"} & set(target_ids(loads))
 
 
-def test_plain_targets_get_no_order():
+def test_targets_without_models_do_not_load():
     plain = ListedTarget("p", "desk", "10.0.0.9:1", "d")
     assert next_loads([plain], {"m": 2}, (), (), {}) == ()
 
@@ -77,9 +77,9 @@
     st.integers(1, 5),
     st.sets(st.integers(0, 11)),
 )
-def test_a_service_is_never_empty(versions, wanted, loading):
+def test_at_least_one_engine_of_a_service_keeps_serving(versions, desired, loading):
     targets = engines(*versions)
-    loads_now = {f"e{n}" for n in loading if n < len(targets)}
-    loads = next_loads(targets, {"m": wanted}, loads_now, (), {})
-    if len(loads_now) < len(targets):
-        assert len(loads_now | set(ids(loads))) < len(targets)
+    loading_ids = {f"e{n}" for n in loading if n < len(targets)}
+    loads = next_loads(targets, {"m": desired}, loading_ids, (), {})
+    if len(loading_ids) < len(targets):
+        assert len(loading_ids | set(target_ids(loads))) < len(targets)
--- a/tests/test_orders/test_scheduler.py
+++ b/tests/test_orders/test_scheduler.py
@@ -1,3 +1,5 @@
+"""Order scheduling: limits on concurrent loads, back-off, fencing, dependencies."""
+
 from __future__ import annotations
 
 from attrs import evolve
@@ -5,7 +7,7 @@
 from hypothesis import strategies as st
 
 from berylnotch.orders.scheduler import (
-    FAILURE_WAIT_MS,
+    FAILURE_BACKOFF_MS,
     MAX_FAILURES,
     MAX_LOADING,
     Engine,
@@ -15,7 +17,7 @@
     next_orders,
 )
 
-LEADS = Leadership(since_ms=0, lease_ms=1500)
+LEADERSHIP = Leadership(since_ms=0, lease_ms=1500)
 NOW = 1_000_000
 
 
@@ -23,85 +25,93 @@
     return tuple(Engine(f"e{n}", "llm", "v1", **fields) for n in range(count))
 
 
-def state(*found: Engine, **fields) -> OrderState:
+def make_state(*all_engines: Engine, **fields) -> OrderState:
     versions = fields.pop("versions", {"llm": "v2"})
-    return OrderState(found, versions, **fields)
+    return OrderState(all_engines, versions, **fields)
 
 
-def names(found: OrderState, now: int = NOW, leads: Leadership = LEADS) -> list[str]:
-    return [order.target for order in next_orders(now, found, leads)]
+def ordered_names(
+    order_state: OrderState, now: int = NOW, leadership: Leadership = LEADERSHIP
+) -> list[str]:
+    return [order.target for order in next_orders(now, order_state, leadership)]
 
 
-def test_one_engine_after_the_other():
-    assert names(state(*engines(3))) == ["e0"]
-    assert names(state(*engines(3), versions={})) == []
-    assert names(state(*engines(3), versions={"llm": "v1"})) == []
+def test_one_order_at_a_time_and_only_to_outdated_engines():
+    assert ordered_names(make_state(*engines(3))) == ["e0"]
+    assert ordered_names(make_state(*engines(3), versions={})) == []
+    assert ordered_names(make_state(*engines(3), versions={"llm": "v1"})) == []
 
 
-def test_last_serving_engine_stays():
-    assert names(state(*engines(1))) == []
+def test_last_serving_engine_gets_no_order():
+    assert ordered_names(make_state(*engines(1))) == []
     first, second = engines(2)
     for change in ({"is_live": False}, {"is_draining": True}, {"version": ""}):
-        assert names(state(evolve(first, **change), second)) != ["e1"]
+        assert ordered_names(make_state(evolve(first, **change), second)) != ["e1"]
     empty = evolve(first, version="")
-    assert names(state(empty)) == ["e0"]
+    assert ordered_names(make_state(empty)) == ["e0"]
 
 
-def test_two_engines_load_at_once():
+def test_at_most_two_engines_of_a_service_load_at_once():
     first, second, third, fourth = engines(4)
-    loading = evolve(first, is_ordered=True, version="")
-    assert names(state(loading, second, third, fourth)) == ["e1"]
-    also = evolve(second, is_ordered=True, version="")
-    assert names(state(loading, also, third, fourth)) == []
-    other = evolve(also, service="base")
-    assert names(state(loading, other, third, fourth)) == ["e2"]
+    loading = evolve(first, has_running_order=True, version="")
+    assert ordered_names(make_state(loading, second, third, fourth)) == ["e1"]
+    second_loading = evolve(second, has_running_order=True, version="")
+    assert ordered_names(make_state(loading, second_loading, third, fourth)) == []
+    other_service = evolve(second_loading, service="base")
+    assert ordered_names(make_state(loading, other_service, third, fourth)) == ["e2"]
 
 
-def test_weight_store_rate():
-    found = state(*engines(3), newest_issue_ms=NOW - 1999, loads_per_min=30)
-    assert names(found) == []
-    assert names(found, NOW + 1) == ["e0"]
+def test_weight_store_rate_limits_orders():
+    order_state = make_state(*engines(3), last_issued_ms=NOW - 1999, loads_per_min=30)
+    assert ordered_names(order_state) == []
+    assert ordered_names(order_state, NOW + 1) == ["e0"]
 
 
 def test_unfenced_engine_waits_for_the_previous_lease():
-    leads = Leadership(since_ms=NOW, lease_ms=1500)
+    leadership = Leadership(since_ms=NOW, lease_ms=1500)
     first, second, third = engines(3)
     fenced = evolve(second, checks_orders=True)
-    assert names(state(first, third), NOW + 1499, leads) == []
-    assert names(state(first, fenced, third), NOW + 1499, leads) == ["e1"]
-    assert names(state(first, third), NOW + 1500, leads) == ["e0"]
+    assert ordered_names(make_state(first, third), NOW + 1499, leadership) == []
+    assert ordered_names(make_state(first, fenced, third), NOW + 1499, leadership) == [
+        "e1"
+    ]
+    assert ordered_names(make_state(first, third), NOW + 1500, leadership) == ["e0"]
 
 
-def test_failures_wait_and_end():
+def test_failed_orders_back_off_and_stop_at_the_limit():
     first, *others = engines(3)
     failed = evolve(first, version="", failures=1, finished_ms=NOW)
-    assert names(state(failed, *others)) == ["e1"]
-    assert names(state(failed, *others), NOW + FAILURE_WAIT_MS) == ["e0"]
-    given_up = evolve(failed, failures=MAX_FAILURES)
-    assert names(state(given_up), NOW + 10**9) == []
+    assert ordered_names(make_state(failed, *others)) == ["e1"]
+    assert ordered_names(make_state(failed, *others), NOW + FAILURE_BACKOFF_MS) == [
+        "e0"
+    ]
+    exhausted = evolve(failed, failures=MAX_FAILURES)
+    assert ordered_names(make_state(exhausted), NOW + 10**9) == []
 
 
-def test_dependency_goes_first():
+def test_dependency_rolls_out_first():
     base = [Engine(f"b{n}", "base", "v1") for n in range(2)]
-    found = state(
+    order_state = make_state(
         *engines(2),
         *base,
         versions={"llm": "v2", "base": "v2"},
         dependencies={"llm": ("mid",), "mid": ("base",)},
     )
-    assert blocked_services(found) == {"llm": "waits for the rollout of base"}
-    assert names(found) == ["b0"]
+    assert blocked_services(order_state) == {"llm": "waits for the rollout of base"}
+    assert ordered_names(order_state) == ["b0"]
 
 
-def test_dependency_that_cannot_go_on_does_not_block():
+def test_dependency_that_cannot_finish_does_not_block():
     base = Engine("b0", "base", "v1")
-    both = {"llm": "v2", "base": "v2"}
-    needs = {"llm": ("base",)}
-    for stuck in ({"is_live": False}, {"failures": MAX_FAILURES}):
-        other = evolve(base, **stuck)
-        found = state(*engines(2), other, versions=both, dependencies=needs)
-        assert blocked_services(found) == {}
-        assert names(found) == ["e0"]
+    versions = {"llm": "v2", "base": "v2"}
+    dependencies = {"llm": ("base",)}
+    for change in ({"is_live": False}, {"failures": MAX_FAILURES}):
+        stuck_engine = evolve(base, **change)
+        order_state = make_state(
+            *engines(2), stuck_engine, versions=versions, dependencies=dependencies
+        )
+        assert blocked_services(order_state) == {}
+        assert ordered_names(order_state) == ["e0"]
 
 
 ENGINE = st.builds(
@@ -117,21 +127,26 @@
 
 
 @given(st.lists(ENGINE, max_size=7, unique_by=lambda e: e.name), st.data())
-def test_rules_hold_in_every_rollout(found, data):
-    """Orders are issued and finished in any order, with any result."""
-    current = {engine.name: engine for engine in found}
-    served = {e.service for e in found if e.is_serving}
+def test_rules_hold_in_every_rollout(initial_engines, data):
+    """Orders finish in any order and with any result.
+
+    A service that serves must keep a serving engine, at most `MAX_LOADING` of its
+    engines may load, and no engine without a fencing check may get an order before
+    the previous lease has ended.
+    """
+    current = {engine.name: engine for engine in initial_engines}
+    served = {e.service for e in initial_engines if e.is_serving}
     versions = {"llm": "v2", "base": "v2"}
     now = NOW
     for _ in range(12):
         now += data.draw(st.sampled_from([500, 3000, 60_000]))
-        view = state(*current.values(), versions=versions)
-        for order in next_orders(now, view, Leadership(NOW, 1500)):
+        order_state = make_state(*current.values(), versions=versions)
+        for order in next_orders(now, order_state, Leadership(NOW, 1500)):
             engine = current[order.target]
-            assert engine.is_live and not engine.is_ordered
+            assert engine.is_live and not engine.has_running_order
             assert engine.checks_orders or now >= NOW + 1500
-            current[order.target] = evolve(engine, is_ordered=True, version="")
-        running = [e for e in current.values() if e.is_ordered]
+            current[order.target] = evolve(engine, has_running_order=True, version="")
+        running = [e for e in current.values() if e.has_running_order]
         for service in served:
             assert any(e.is_serving for e in current.values() if e.service == service)
             loading = [e for e in running if e.service == service]
@@ -142,7 +157,7 @@
             failures = 0 if version == "v2" else engine.failures + 1
             current[engine.name] = evolve(
                 engine,
-                is_ordered=False,
+                has_running_order=False,
                 version=version,
                 failures=failures,
                 finished_ms=now,
