--- a/berylnotch/group/columns.py
+++ b/berylnotch/group/columns.py
@@ -193,9 +193,10 @@
 
 
 def is_store(holder: str) -> bool:
-    """Tell whether a prompt's holder is a store, so an address with a port.
+    """Tell whether a prompt's holder is a store.
 
-    Other holders are identities of targets.
+    A store is identified by its address with a port, a target by its identity, which
+    contains no colon.
     """
     return ":" in holder
 
--- a/berylnotch/membership/board.py
+++ b/berylnotch/membership/board.py
@@ -24,7 +24,11 @@
 
 @define
 class _ReportedWeights:
-    """Version that an engine reported, and the time of the report in seconds."""
+    """Version that an engine reported.
+
+    ``reported_at`` is the time of the report in seconds, ``born_ms`` the listed start
+    of the engine at that time.
+    """
 
     version: ModelVersion
     reported_at: float
--- a/berylnotch/orders/scheduler.py
+++ b/berylnotch/orders/scheduler.py
@@ -175,6 +175,7 @@
 
 
 def _sort_outdated_engines(state: OrderState) -> Iterator[Engine]:
+    """Yield the outdated engines whose rollout may go on, non-serving ones first."""
     blocked = blocked_services(state)
     outdated = [
         engine
