--- a/tests/test_entry/test_signals.py
+++ b/tests/test_entry/test_signals.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("status", [200, 421, 500, 503])
 @pytest.mark.parametrize("name", ["Server-Leaving", "server-leaving"])
-def test_a_target_that_announces_its_departure_gets_no_more_requests(context, status, name):
+def test_a_target_that_is_leaving_gets_no_more_requests(context, status, name):
     answer(context, status, (name, "1"))
     target = context.targets.get("e")
     assert not target.is_usable(boot_time())
