--- a/berylnotch/daemon/fleet/replica_host.py
+++ b/berylnotch/daemon/fleet/replica_host.py
@@ -1,4 +1,4 @@
-"""Runs a replica of the fleet's log: disk, messages, founding, joining."""
+"""Replica of the fleet's log: storage, messages, bootstrap and group membership."""
 
 from __future__ import annotations
 
@@ -23,23 +23,25 @@
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
-#: Pause between two looks at the replica's clock, in seconds: half a heartbeat.
-TICK_S = 0.05
+#: Interval between two ticks of the replica, in seconds: half a heartbeat.
+TICK_INTERVAL_S = 0.05
 
-#: Pause between two looks at the group's members, in seconds.
-MEMBERS_S = 0.2
+#: Interval between two checks of the group's members, in seconds.
+MEMBERS_CHECK_INTERVAL_S = 0.2
 
-#: Pause before a folder whose disk failed is opened again, in seconds.
-REOPEN_S = 0.5
+#: Delay before the log folder is opened again after a disk failure, in seconds.
+REOPEN_DELAY_S = 0.5
 
-#: Suffix of the replica id of a controller that founds the group.
-FOUNDER = "first"
+#: Suffix of the replica id of a controller that bootstraps the group.
+FOUNDER_SUFFIX = "first"
 
-#: Gets whether a command was committed under the term in which it was proposed.
-Committed = Callable[[bool], None]
+#: Called with True if a command was committed in the term in which it was proposed,
+#: with False otherwise.
+CommitCallback = Callable[[bool], None]
 
-#: Sizes for a state of a few hundred KB on a disk of about 100 MB, and a failover
-#: in about a second, which bounds how long no grant or order is given.
+#: The snapshot sizes suit a state of a few hundred KB on a disk of about 100 MB. The
+#: time-outs give a failover in about a second. No tokens are granted and no orders are
+#: sent to engines until it ends.
 CONSENSUS = ConsensusSettings(
     heartbeat_s=0.1,
     lease_s=0.55,
@@ -53,31 +55,32 @@
 
 @frozen
 class _Proposal:
-    """A command that waits for its commit."""
+    """A proposed command that is not committed yet."""
 
     term: int
-    done: Committed
+    done: CommitCallback
 
 
 class ReplicaHost:
-    """One controller's replica, its folder and its part in the group.
+    """Replica of one controller, with its log folder and its group membership.
 
     Parameters
     ----------
     settings : FleetSettings
         Settings of the process.
     seeds : callable
-        Returns the addresses of controllers to ask first.
+        Returns the addresses of the controllers to contact first.
     loop : Loop
-        Loop in which everything runs.
+        Event loop of the process.
     send : callable
         Sends a message to an address.
     state : FleetState
-        Gets the committed commands.
+        State machine to which committed commands are applied.
     log : EventLog
         Log of the process.
     on_applied : callable
-        Called after commands were applied.
+        Called after commands were applied, a snapshot was restored, or the log folder
+        was opened.
     """
 
     def __init__(
@@ -91,7 +94,7 @@
         on_applied: Callable[[], None],
     ) -> None:
         self._settings = settings
-        self._keeper = GroupKeeper(settings, seeds, send, log)
+        self._group_keeper = GroupKeeper(settings, seeds, send, log)
         self._loop = loop
         self._send = send
         self._state = state
@@ -99,68 +102,76 @@
         self._on_applied = on_applied
         self._storage: LogStorage | None = None
         self._replica: Replica | None = None
-        self._is_pump_due = False
+        self._is_processing_scheduled = False
         self._is_closed = False
         self._proposals: dict[int, _Proposal] = {}
-        self._noted_leader = ""
+        self._logged_leader = ""
 
     @property
     def address(self) -> str:
-        """Address of this controller's links."""
+        """Address at which this controller accepts links."""
         return str(self._settings.internal)
 
     @property
     def term(self) -> int:
-        """Newest term seen."""
+        """Newest term seen, 0 without a replica."""
         return self._replica.term if self._replica is not None else 0
 
     @property
     def leader_address(self) -> str:
-        """Address of the leader's links, or empty if unknown."""
+        """Address at which the leader accepts links, empty if unknown."""
         return self._replica.leader_address if self._replica is not None else ""
 
     @property
     def known_addresses(self) -> tuple[str, ...]:
-        """Addresses of all controllers that this one has heard of."""
-        return self._keeper.known_addresses(self._replica)
+        """Addresses of all controllers known to this one."""
+        return self._group_keeper.known_addresses(self._replica)
 
     @property
     def voter_count(self) -> int:
-        """Members of the group."""
+        """Number of members of the group."""
         return len(self._replica.members.members) if self._replica else 0
 
     def is_active(self) -> bool:
-        """Whether this replica may act as the only leader, by a fresh clock."""
+        """Whether this replica holds the leader lease at the current time."""
         return self._replica is not None and self._replica.has_lease(boot_time())
 
     def lease_age_s(self) -> float | None:
-        """Return the age of the lease in seconds, None if this is no leader."""
+        """Return the age of the leader lease in seconds, None on a follower."""
         if self._replica is None or not self._replica.is_leader:
             return None
         return self._replica.lease_age_s(boot_time())
 
     def start(self) -> None:
-        """Open the folder and take part."""
+        """Open the log folder and start the timers of the replica."""
         self._open()
-        self._loop.call_every(TICK_S, self._tick)
-        self._loop.call_every(MEMBERS_S, self._look_at_members)
+        self._loop.call_every(TICK_INTERVAL_S, self._tick)
+        self._loop.call_every(MEMBERS_CHECK_INTERVAL_S, self._check_members)
 
     def close(self) -> None:
-        """Hand leadership on and close the folder."""
+        """Transfer leadership, if held, and close the log folder."""
         self._is_closed = True
         replica = self._replica
         if replica is not None and replica.is_leader:
             try:
                 replica.transfer(boot_time())
-                self._pump()
+                self._process_ready()
             except ConsensusError as error:
                 self._log.info("transfer_failed", reason=str(error))
         self._replica = None
         if self._storage is not None:
             self._storage.close()
 
-    def propose(self, command: bytes, done: Committed) -> None:
-        """Commit a command; ``done`` hears of it, or that it failed at once."""
+    def propose(self, command: bytes, done: CommitCallback) -> None:
+        """Propose a command to the group.
+
+        Parameters
+        ----------
+        command : bytes
+            Encoded command.
+        done : callable
+            Called with the outcome; with False at once if the proposal is refused.
+        """
         try:
             if self._replica is None:
                 raise NotLeaderError
@@ -170,32 +181,32 @@
             done(False)
             return
         self._proposals[index] = _Proposal(self._replica.term, done)
-        self._pump_soon()
+        self._schedule_processing()
 
     def step(self, message: object) -> None:
-        """Take a message of another replica."""
+        """Process a message from another replica."""
         if self._replica is not None:
             self._replica.step(boot_time(), message)
-            self._pump_soon()
+            self._schedule_processing()
 
     def join(self, request: JoinRequest) -> bool:
-        """Note a request to join; return whether this replica can serve it."""
+        """Record a join request; return whether this replica can serve it."""
         if not self.is_active():
             return False
-        self._keeper.join(request)
+        self._group_keeper.join(request)
         return True
 
     def learn(self, redirect: Redirect) -> None:
-        """Take addresses of controllers from one that does not lead."""
-        self._keeper.learn(redirect)
+        """Record the controller addresses from the redirect of a non-leader."""
+        self._group_keeper.learn(redirect)
 
-    # Disk.
+    # Storage.
 
     def _open(self) -> None:
         folder = self._settings.data / "log"
         founders = self._settings.seed_links
-        founds = self._settings.founds_group and self.address in founders
-        identity = f"{self.address}/{FOUNDER}" if founds else ""
+        is_founder = self._settings.founds_group and self.address in founders
+        identity = f"{self.address}/{FOUNDER_SUFFIX}" if is_founder else ""
         storage = LogStorage(
             folder,
             self.address,
@@ -206,14 +217,14 @@
         try:
             Path(folder).parent.mkdir(parents=True, exist_ok=True)
             recovered = storage.start()
-            if founds and recovered.identity == identity and not recovered.entries:
+            if is_founder and recovered.identity == identity and not recovered.entries:
                 if recovered.snapshot is None:
-                    recovered = bootstrap(recovered, _first_members(founders))
+                    recovered = bootstrap(recovered, _initial_members(founders))
                     storage.save(first_ready(recovered))
         except (StorageError, OSError) as error:
             storage.close()
             self._log.error("disk_failed", reason=str(error))
-            self._loop.call_later(REOPEN_S, self._reopen)
+            self._loop.call_later(REOPEN_DELAY_S, self._reopen)
             return
         self._storage = storage
         if recovered.snapshot is not None and recovered.snapshot.data:
@@ -224,7 +235,7 @@
             replica=recovered.identity,
             term=recovered.hard_state.term,
             entries=len(recovered.entries),
-            founds=founds,
+            founds=is_founder,
         )
         self._on_applied()
 
@@ -232,23 +243,23 @@
         if not self._is_closed:
             self._open()
 
-    def _fail_disk(self, error: StorageError) -> None:
+    def _on_disk_failure(self, error: StorageError) -> None:
         self._log.error("disk_failed", reason=str(error))
         self._replica = None
         self._storage.close()
         self._fail_proposals()
-        self._loop.call_later(REOPEN_S, self._reopen)
+        self._loop.call_later(REOPEN_DELAY_S, self._reopen)
 
-    # Work of the replica.
+    # Processing of the replica's output.
 
-    def _pump_soon(self) -> None:
-        if not self._is_pump_due:
-            self._is_pump_due = True
-            self._loop.call_soon(self._pump)
+    def _schedule_processing(self) -> None:
+        if not self._is_processing_scheduled:
+            self._is_processing_scheduled = True
+            self._loop.call_soon(self._process_ready)
 
-    def _pump(self) -> None:
-        self._is_pump_due = False
-        has_applied = False
+    def _process_ready(self) -> None:
+        self._is_processing_scheduled = False
+        has_state_changed = False
         while self._replica is not None:
             ready = self._replica.ready()
             if ready.is_empty:
@@ -257,18 +268,18 @@
             try:
                 self._storage.save(ready)
             except StorageError as error:
-                self._fail_disk(error)
+                self._on_disk_failure(error)
                 return
             if ready.snapshot is not None:
                 self._state.restore(ready.snapshot.data)
-                has_applied = True
+                has_state_changed = True
             for outgoing in ready.messages:
                 if outgoing.address:
                     self._send(outgoing.address, outgoing.message)
             for entry in ready.committed:
-                has_applied |= self._apply(entry)
+                has_state_changed |= self._apply(entry)
             self._replica.advance(ready)
-        if has_applied:
+        if has_state_changed:
             self._compact()
             self._on_applied()
 
@@ -289,7 +300,7 @@
         try:
             self._storage.save_snapshot(snapshot)
         except StorageError as error:
-            self._fail_disk(error)
+            self._on_disk_failure(error)
             return
         replica.compact(snapshot)
         self._log.info("snapshot_saved", index=snapshot.last_index)
@@ -299,11 +310,11 @@
         if replica is None or self._is_closed:
             return
         replica.tick(boot_time())
-        self._pump_soon()
+        self._schedule_processing()
         if replica.leader:
-            self._keeper.heard_leader()
-        if replica.leader != self._noted_leader:
-            self._noted_leader = replica.leader
+            self._group_keeper.heard_leader()
+        if replica.leader != self._logged_leader:
+            self._logged_leader = replica.leader
             self._log.info(
                 "leader_changed", leader=replica.leader or "none", term=replica.term
             )
@@ -315,19 +326,19 @@
         for proposal in proposals.values():
             proposal.done(False)
 
-    def _look_at_members(self) -> None:
+    def _check_members(self) -> None:
         if self._replica is None or self._is_closed:
             return
         if not self.is_active():
-            self._keeper.ask_to_join(self._replica)
-        elif self._keeper.change_members(self._replica):
-            self._pump_soon()
+            self._group_keeper.ask_to_join(self._replica)
+        elif self._group_keeper.change_members(self._replica):
+            self._schedule_processing()
 
 
-def _first_members(addresses: tuple[str, ...]) -> Members:
+def _initial_members(addresses: tuple[str, ...]) -> Members:
     return Members(
         tuple(
-            Member(address, f"{address}/{FOUNDER}", address)
+            Member(address, f"{address}/{FOUNDER_SUFFIX}", address)
             for address in sorted(addresses)
         )
     )
--- a/berylnotch/daemon/fleet/reports.py
+++ b/berylnotch/daemon/fleet/reports.py
@@ -1,4 +1,4 @@
-"""What a router tells the leader."""
+"""Reports that a router sends to the leading controller."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from berylnotch.group.messages import RouterReport, TargetLoad
 from berylnotch.util.gathering import Gathering
 
-#: Seconds between two reports to the leader, for each router of the fleet: the
-#: leader takes no more than about 250 of them a second.
+#: Report interval per router of the fleet, in seconds. The interval of a large fleet
+#: grows with it, so that the leader receives at most about 250 reports a second.
 REPORT_PER_ROUTER_S = 0.004
 
-#: Shortest time between two reports, in seconds.
+#: Minimum interval between two periodic reports, in seconds.
 REPORT_S = 0.15
 
-#: Seconds in which a router that sent a long prompt reports, so that prompts of the
-#: same moment go in one message.
-REPORT_SOON_S = 0.01
+#: Seconds after which a router reports a long prompt that it sent to a target. The
+#: delay gathers prompts that are sent at about the same time into one message.
+URGENT_REPORT_DELAY_S = 0.01
 
 
 class LeaderReports:
-    """Reports of a router, at intervals and when something new cannot wait.
+    """Sends reports of a router periodically, and earlier if a report is urgent.
 
     Parameters
     ----------
     context : EntryContext
         Shared state of the router.
     incarnation : str
-        Distinguishes this start of the router from others.
+        Identifies this run of the router process.
     is_leaving : callable
-        Tells whether the router shall get no new callers.
+        Returns whether the router must not be given to new callers.
     send : callable
         Sends a message to the leader.
     """
@@ -48,24 +48,26 @@
         self._is_leaving = is_leaving
         self._send = send
         self._sent_loads: tuple[TargetLoad, ...] = ()
-        self._due = Gathering(context.loop, self.send, lambda: REPORT_SOON_S)
+        self._urgent_report = Gathering(
+            context.loop, self.send, lambda: URGENT_REPORT_DELAY_S
+        )
 
     @property
     def sent_loads(self) -> tuple[TargetLoad, ...]:
-        """Loads of the newest report, which the leader's sums contain."""
+        """Loads in the newest report; the leader's sums include them."""
         return self._sent_loads
 
     def start(self) -> None:
-        """Begin to report at intervals."""
-        self._context.loop.call_later(REPORT_S, self._repeat)
+        """Start the periodic reports."""
+        self._context.loop.call_later(REPORT_S, self._send_periodically)
 
     def soon(self) -> None:
-        """Report before the interval is over."""
-        self._due.soon()
+        """Schedule a report before the interval ends."""
+        self._urgent_report.soon()
 
     def send(self) -> None:
-        """Report now."""
-        self._due.done()
+        """Send a report now, in place of a scheduled urgent one."""
+        self._urgent_report.done()
         context = self._context
         self._sent_loads = tuple(
             TargetLoad(
@@ -100,7 +102,7 @@
             )
         )
 
-    def _repeat(self) -> None:
-        pause_s = max(REPORT_S, REPORT_PER_ROUTER_S * self._context.router_count)
-        self._context.loop.call_later(pause_s, self._repeat)
+    def _send_periodically(self) -> None:
+        interval_s = max(REPORT_S, REPORT_PER_ROUTER_S * self._context.router_count)
+        self._context.loop.call_later(interval_s, self._send_periodically)
         self.send()
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -1,4 +1,4 @@
-"""Router of a fleet: serves callers by what the leader tells it."""
+"""Router process of a fleet: serves callers with the state that the leader sends."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from berylnotch.daemon.fleet.metrics import MetricsServer
 from berylnotch.daemon.fleet.reports import REPORT_S, LeaderReports
 from berylnotch.daemon.fleet.updates import (
-    share_limits,
-    take_crashes,
-    take_loads,
-    take_prompts,
-    take_targets,
+    apply_crashes,
+    apply_limits,
+    apply_loads,
+    apply_prompt_notes,
+    apply_targets,
 )
 from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.context import EntryContext
@@ -57,49 +57,49 @@
 from berylnotch.util.loop import Loop
 from berylnotch.util.metrics import Label, Metrics
 
-#: Seconds between two looks at what waits for tokens.
-QUOTA_S = 0.05
+#: Interval in seconds between two checks of the requests that wait for tokens.
+QUOTA_CHECK_INTERVAL_S = 0.05
 
-#: Seconds for which callers may keep an address answer. Some keep it three times
-#: as long, and a stopping router takes requests until then.
+#: Seconds for which callers may cache the list of router addresses. Some cache it three
+#: times as long, so a draining router accepts requests until that time is over.
 ADDRESS_TTL_S = 1.2
 
-#: How many times its lifetime callers keep an address answer at the most.
-TTL_FACTOR = 3
+#: Longest time for which callers cache an address list, as a multiple of its TTL.
+MAX_TTL_FACTOR = 3
 
-#: Seconds without a new caller after which a leaving router may stop; a request that
-#: was on its way has come by then.
-QUIET_S = 0.25
+#: Seconds without a new connection after which a draining router may stop. Requests in
+#: transit have arrived by then.
+QUIET_PERIOD_S = 0.25
 
-#: Seconds in which the answers to the last requests leave the process.
-LAST_ANSWERS_S = 0.1
+#: Seconds allowed for the last responses to be written to their sockets.
+RESPONSE_FLUSH_S = 0.1
 
-#: Seconds before the end of the time to stop in which the process exits.
+#: Seconds before the stop deadline at which the process ends its remaining exchanges.
 STOP_MARGIN_S = 0.7
 
-#: Seconds from the start of a router until it usually has its configuration, also
-#: when all controllers start with it and elect a leader first.
-START_S = 1.6
+#: Seconds from the start of a router until it usually has its configuration, even if
+#: all controllers start at the same time and have to elect a leader first.
+EXPECTED_STARTUP_S = 1.6
 
-#: Shortest time in seconds after which a caller shall come back to a router that
-#: has no configuration yet.
-MIN_RETRY_S = 0.3
+#: Shortest retry delay in seconds that a router without a configuration returns to
+#: callers.
+MIN_RETRY_AFTER_S = 0.3
 
-#: Seconds between two closings of connections that were idle for too long.
-IDLE_SWEEP_S = 1.0
+#: Interval in seconds between two sweeps that close idle connections to targets.
+IDLE_CLOSE_INTERVAL_S = 1.0
 
 
 class FleetRouter:
-    """The process on an entry VM.
+    """Router process on an entry VM.
 
     Parameters
     ----------
     settings : FleetSettings
         Settings of the process.
     seeds : callable
-        Returns the addresses of controllers to ask first.
+        Returns the addresses of the controllers to contact first.
     loop : Loop
-        Loop in which everything runs.
+        Event loop of the process.
     log : EventLog
         Log of the process.
     """
@@ -117,7 +117,7 @@
         self.metrics = Metrics()
         entry_settings = EntrySettings()
         gate = QuotaGate(LocalQuota(FLEET_QUOTA), entry_settings.quota_wait_s)
-        self._quota_looks = Gathering(loop, self._look_at_quota, lambda: 0.0)
+        self._quota_checks = Gathering(loop, self._check_quota, lambda: 0.0)
         self._context = EntryContext(
             settings=entry_settings,
             fleet=settings,
@@ -128,24 +128,24 @@
             gate=gate,
             prompts=PromptMemory(),
             crashes=CrashGuard(entry_settings.membership),
-            ask_quota=self._quota_looks.soon,
+            ask_quota=self._quota_checks.soon,
         )
         self._started_at = boot_time()
-        self._early = EarlyRequests(
-            loop, self._started_at + START_S, self._answer_caller
+        self._early_requests = EarlyRequests(
+            loop, self._started_at + EXPECTED_STARTUP_S, self._admit_request
         )
         self._incarnation = os.urandom(8).hex()
         self._roster: dict[str, RouterEntry] = {}
-        self._numbered = NumberedTargets()
+        self._numbered_targets = NumberedTargets()
         self._is_leaving = False
         self._exchanges: set[Exchange] = set()
         self._quota_sent_at = 0.0
-        self._targets_at = 0.0
-        self._link = LeaderLink(
+        self._targets_received_at = 0.0
+        self._leader_link = LeaderLink(
             loop,
             seeds,
             lambda: self._reports.send(),
-            self._take,
+            self._on_leader_message,
             log,
             LinkSettings(),
         )
@@ -153,111 +153,132 @@
             self._context,
             self._incarnation,
             lambda: not self.is_ready,
-            self._link.send,
+            self._leader_link.send,
         )
         self._context.report_soon = self._reports.soon
-        self._callers = HttpServer(
-            loop, settings.listen, self._serve, self._limits, self._refused
+        self._caller_server = HttpServer(
+            loop,
+            settings.listen,
+            self._serve,
+            self._http_limits,
+            self._on_unreadable_request,
         )
-        self._side_servers = [
-            HttpServer(loop, address, self._serve_side)
+        self._status_servers = [
+            HttpServer(loop, address, self._serve_status)
             for address in {settings.ready, settings.directory} - {None}
         ]
         self._metrics_server = MetricsServer(
-            loop, settings.metrics, self.metrics, self._measure
+            loop, settings.metrics, self.metrics, self._update_gauges
         )
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether this router has a configuration and is not leaving."""
         return self._context.routes is not None and not self._is_leaving
 
     def start(self) -> None:
-        """Serve."""
-        self._callers.start()
-        for server in self._side_servers:
+        """Start the servers, the link to the leader and the timers."""
+        self._caller_server.start()
+        for server in self._status_servers:
             server.start()
         self._metrics_server.start()
-        self._link.start()
+        self._leader_link.start()
         self._reports.start()
-        self._loop.call_every(QUOTA_S, self._look_at_quota)
-        self._loop.call_every(IDLE_SWEEP_S, self._context.targets.close_old)
+        self._loop.call_every(QUOTA_CHECK_INTERVAL_S, self._check_quota)
+        self._loop.call_every(IDLE_CLOSE_INTERVAL_S, self._context.targets.close_old)
         self._log.info("started", callers=self._settings.listen)
 
     def drain(self, done: Callable[[], None]) -> None:
-        """Leave: take requests until no caller uses this address, then stop."""
+        """Accept requests until callers have dropped this address, then stop.
+
+        Parameters
+        ----------
+        done : callable
+            Called when the router has drained, or shortly before the stop deadline.
+        """
         self._is_leaving = True
-        self._early.hand_on()
+        self._early_requests.hand_on()
         self._reports.send()
         self._log.info("draining", requests=len(self._exchanges))
-        lifetime_s = ADDRESS_TTL_S * TTL_FACTOR + REPORT_S
-        latest_s = max(0.0, self._settings.bounds.stop_s - STOP_MARGIN_S)
+        address_lifetime_s = ADDRESS_TTL_S * MAX_TTL_FACTOR + REPORT_S
+        max_drain_s = max(0.0, self._settings.bounds.stop_s - STOP_MARGIN_S)
         now = boot_time()
-        accept_until, latest = now + min(lifetime_s, latest_s), now + latest_s
-        self._callers.is_draining = True
+        accept_until, exit_at = (
+            now + min(address_lifetime_s, max_drain_s),
+            now + max_drain_s,
+        )
+        self._caller_server.is_draining = True
 
-        def look() -> None:
+        def check_drained() -> None:
             now = boot_time()
             is_done = now >= accept_until and not self._exchanges
-            is_quiet = now - self._callers.accepted_at >= QUIET_S
-            if is_done and is_quiet and self._callers.busy_count == 0 or now >= latest:
+            is_quiet = now - self._caller_server.accepted_at >= QUIET_PERIOD_S
+            if (
+                is_done
+                and is_quiet
+                and self._caller_server.busy_count == 0
+                or now >= exit_at
+            ):
                 self._log.info("drained", requests=len(self._exchanges))
                 for exchange in tuple(self._exchanges):
                     exchange.stop()
-                self._loop.call_later(LAST_ANSWERS_S, done)
+                self._loop.call_later(RESPONSE_FLUSH_S, done)
                 return
-            self._loop.call_later(0.05, look)
+            self._loop.call_later(0.05, check_drained)
 
-        look()
+        check_drained()
 
     def close(self) -> None:
-        """Stop serving."""
-        self._link.close()
-        self._callers.close()
+        """Close the link to the leader and the server for callers."""
+        self._leader_link.close()
+        self._caller_server.close()
 
     # Callers.
 
-    def _limits(self) -> HttpLimits:
+    def _http_limits(self) -> HttpLimits:
         routes = self._context.routes
         return routes.configuration.limits if routes is not None else HttpLimits()
 
-    def _refused(self, status: int, reason: str) -> None:
+    def _on_unreadable_request(self, status: int, reason: str) -> None:
         self._log.warning("unreadable_request", status=status, reason=reason)
         self.metrics.count(
             "berylnotch_unreadable_requests_total", Label("status", str(status))
         )
 
     @property
-    def _knows_targets(self) -> bool:
-        return self._context.routes is not None and self._targets_at > 0
+    def _has_targets(self) -> bool:
+        return self._context.routes is not None and self._targets_received_at > 0
 
     def _serve(self, connection: ServerConnection, request: HttpRequest) -> None:
-        if not self._knows_targets and not self._is_leaving:
+        if not self._has_targets and not self._is_leaving:
             deadline_s = decode_request(request).deadline_s
-            if self._early.keep(connection, request, deadline_s):
+            if self._early_requests.keep(connection, request, deadline_s):
                 return
-        self._answer_caller(connection, request)
+        self._admit_request(connection, request)
 
-    def _answer_caller(
+    def _admit_request(
         self, connection: ServerConnection, request: HttpRequest
     ) -> None:
         routes = self._context.routes
         caller = decode_request(request)
         if routes is None:
-            retry_s = max(MIN_RETRY_S, self._started_at + START_S - boot_time())
-            self._turn_away(
+            retry_s = max(
+                MIN_RETRY_AFTER_S,
+                self._started_at + EXPECTED_STARTUP_S - boot_time(),
+            )
+            self._refuse(
                 connection, caller.request_id, 503, "no configuration", retry_s
             )
             return
         route = routes.route(caller.host, request.path)
         if route is None:
-            self._turn_away(connection, caller.request_id, 404, "no route")
+            self._refuse(connection, caller.request_id, 404, "no route")
             return
         organisation = None
         if routes.needs_keys and not route.is_open:
             organisation = routes.organisation(caller.key)
             if organisation is None:
-                self._turn_away(connection, caller.request_id, 401, "unknown key")
+                self._refuse(connection, caller.request_id, 401, "unknown key")
                 return
         if caller.chain.problem:
             self._log.warning(
@@ -272,7 +293,7 @@
         self._exchanges.add(exchange)
         exchange.start()
 
-    def _turn_away(
+    def _refuse(
         self,
         connection: ServerConnection,
         request_id: str,
@@ -290,20 +311,20 @@
         )
         connection.respond(status, refusal_headers(request_id, retry_s))
 
-    def _serve_side(self, connection: ServerConnection, request: HttpRequest) -> None:
+    def _serve_status(self, connection: ServerConnection, request: HttpRequest) -> None:
         if request.path == READY_PATH:
             connection.respond(200 if self.is_ready else 503, Headers())
         elif request.path == ADDRESS_PATH:
-            self._answer_address(connection, request)
+            self._serve_addresses(connection, request)
         else:
             connection.respond(404, Headers())
 
-    def _answer_address(
+    def _serve_addresses(
         self, connection: ServerConnection, request: HttpRequest
     ) -> None:
-        own = str(self._settings.listen)
-        others = [address for address in self._roster if address != own]
-        addresses = answer_addresses(own, self.is_ready, others)
+        own_address = str(self._settings.listen)
+        others = [address for address in self._roster if address != own_address]
+        addresses = answer_addresses(own_address, self.is_ready, others)
         if not addresses:
             connection.respond(503, Headers())
             return
@@ -312,58 +333,58 @@
         headers = Headers((("Content-Type", "application/json"),))
         connection.respond(200, headers, body)
 
-    # The leader.
+    # Messages from the leader.
 
-    def _take(self, message: object) -> None:
+    def _on_leader_message(self, message: object) -> None:
         if isinstance(message, ConfigurationUpdate):
-            self._take_configuration(message)
+            self._apply_configuration(message)
         elif isinstance(message, TargetsUpdate):
-            self._targets_at = boot_time()
-            self._numbered.take(message)
-            take_targets(self._context, message)
-            self._hand_on_early()
+            self._targets_received_at = boot_time()
+            self._numbered_targets.take(message)
+            apply_targets(self._context, message)
+            self._release_early_requests()
         elif isinstance(message, RosterUpdate):
             if message.is_whole:
                 self._roster = {}
-            for gone in message.gone:
-                self._roster.pop(gone, None)
+            for address in message.gone:
+                self._roster.pop(address, None)
             self._roster.update((entry.address, entry) for entry in message.routers)
             self._context.resize_budgets(len(self._roster))
-            share_limits(self._context)
+            apply_limits(self._context)
         elif isinstance(message, LoadColumns):
-            update = self._numbered.loads(message)
+            update = self._numbered_targets.loads(message)
             if update is not None:
-                take_loads(self._context, update, self._reports.sent_loads)
+                apply_loads(self._context, update, self._reports.sent_loads)
         elif isinstance(message, GrantReply):
             self._context.gate.receive(boot_time(), self._quota_sent_at, message)
         elif isinstance(message, CrashesUpdate):
-            take_crashes(self._context, message.crashes)
+            apply_crashes(self._context, message.crashes)
         elif isinstance(message, NoteRecords):
-            take_prompts(self._context, self._numbered.notes(message))
+            apply_prompt_notes(self._context, self._numbered_targets.notes(message))
 
-    def _hand_on_early(self) -> None:
-        if len(self._early) and self._knows_targets:
-            self._log.info("early_requests", count=len(self._early))
-            self._early.hand_on()
+    def _release_early_requests(self) -> None:
+        if len(self._early_requests) and self._has_targets:
+            self._log.info("early_requests", count=len(self._early_requests))
+            self._early_requests.hand_on()
 
-    def _take_configuration(self, update: ConfigurationUpdate) -> None:
-        known = self._context.routes
-        if known is not None and update.version <= known.version:
+    def _apply_configuration(self, update: ConfigurationUpdate) -> None:
+        current = self._context.routes
+        if current is not None and update.version <= current.version:
             return
         self._context.routes = RouteTable(decode_configuration(update.content))
         self._log.info(
             "configuration",
             version=update.version,
-            was=known.version if known else 0,
+            was=current.version if current else 0,
             routes=len(self._context.routes.configuration.routes),
         )
-        share_limits(self._context)
+        apply_limits(self._context)
         self._reports.send()
-        self._hand_on_early()
+        self._release_early_requests()
 
-    # Limits of the organisations.
+    # Quota of the organisations.
 
-    def _look_at_quota(self) -> None:
+    def _check_quota(self) -> None:
         gate, now = self._context.gate, boot_time()
         gate.serve(now)
         if now < gate.quota.next_ask_at:
@@ -379,21 +400,21 @@
             gate.quota.withdraw()
             return
         self._quota_sent_at = now
-        self._link.send(request)
+        self._leader_link.send(request)
 
-    def _measure(self) -> None:
+    def _update_gauges(self) -> None:
         context, metrics = self._context, self.metrics
         version = context.routes.version if context.routes else 0
         metrics.gauge("berylnotch_configuration_version", float(version))
         metrics.gauge("berylnotch_ready", float(self.is_ready))
-        metrics.gauge("berylnotch_has_leader", float(self._link.has_leader))
-        metrics.gauge("berylnotch_leader_heard_seconds", self._link.heard_s)
+        metrics.gauge("berylnotch_has_leader", float(self._leader_link.has_leader))
+        metrics.gauge("berylnotch_leader_heard_seconds", self._leader_link.heard_s)
         metrics.gauge("berylnotch_requests_under_way", float(len(self._exchanges)))
         metrics.gauge("berylnotch_log_lines_dropped", float(self._log.dropped))
-        targets_s = boot_time() - (self._targets_at or self._started_at)
-        metrics.gauge("berylnotch_targets_heard_seconds", targets_s)
-        for service, left in context.budgets_left().items():
-            metrics.gauge("berylnotch_retry_budget", left, Label("service", service))
+        targets_age_s = boot_time() - (self._targets_received_at or self._started_at)
+        metrics.gauge("berylnotch_targets_heard_seconds", targets_age_s)
+        for service, budget in context.budgets_left().items():
+            metrics.gauge("berylnotch_retry_budget", budget, Label("service", service))
         for name, version in context.names.versions().items():
             metrics.gauge(
                 "berylnotch_weights_version", float(version), Label("model", name)
--- a/berylnotch/daemon/fleet/seekers.py
+++ b/berylnotch/daemon/fleet/seekers.py
@@ -1,4 +1,4 @@
-"""Routers that wait at a controller until a leader is known."""
+"""Routers that wait at a controller for the election of a leader."""
 
 from __future__ import annotations
 
@@ -7,47 +7,51 @@
 from berylnotch.group.messages import RouterReport
 from berylnotch.transport.link import Link
 
-#: Seconds for which a router waits where no leader is known: most of an election. It
-#: then asks elsewhere, since this controller may be cut off from the others.
-WAIT_S = 0.3
+#: Longest time in seconds that a router waits at a controller that knows no leader:
+#: most of the duration of an election. The router then asks another controller, since
+#: this one may be partitioned from the group.
+MAX_WAIT_S = 0.3
 
 
 @frozen
-class _Seeker:
-    """A router's newest report, and until when it waits."""
+class _WaitingRouter:
+    """Newest report of a waiting router, and the boot time at which its wait ends."""
 
     report: RouterReport
-    until: float
+    expires_at: float
 
 
 class Seekers:
-    """Links of routers that asked while no leader was known.
+    """Links of the routers that reported while no leader was known.
 
-    Hundreds of routers that were sent away at once would come back ten times a second,
-    and keep the controllers too busy to elect a leader.
+    If hundreds of routers were redirected immediately, each would connect again ten
+    times a second and keep the controllers too busy to elect a leader.
     """
 
     def __init__(self) -> None:
-        self._waiting: dict[Link, _Seeker] = {}
+        self._waiting: dict[Link, _WaitingRouter] = {}
 
     def add(self, link: Link, report: RouterReport, now: float) -> None:
-        """Let a router wait; a later report of it does not prolong that."""
-        known = self._waiting.get(link)
-        until = known.until if known is not None else now + WAIT_S
-        self._waiting[link] = _Seeker(report, until)
+        """Keep the report of a router; a later report does not extend its wait."""
+        earlier = self._waiting.get(link)
+        expires_at = earlier.expires_at if earlier is not None else now + MAX_WAIT_S
+        self._waiting[link] = _WaitingRouter(report, expires_at)
 
     def lost(self, link: Link) -> None:
-        """Forget a link that ended."""
+        """Remove a link that was closed."""
         self._waiting.pop(link, None)
 
     def take(
         self, now: float, is_leader_known: bool
     ) -> list[tuple[Link, RouterReport]]:
-        """Return and forget those to answer: all with a leader, else the overdue."""
+        """Remove and return the routers to answer.
+
+        These are all routers if a leader is known, else those whose wait is over.
+        """
         due = [
-            (link, seeker.report)
-            for link, seeker in self._waiting.items()
-            if is_leader_known or seeker.until <= now
+            (link, router.report)
+            for link, router in self._waiting.items()
+            if is_leader_known or router.expires_at <= now
         ]
         for link, _ in due:
             del self._waiting[link]
--- a/berylnotch/daemon/fleet/stores.py
+++ b/berylnotch/daemon/fleet/stores.py
@@ -1,4 +1,4 @@
-"""Watches the stores of KV cache, so that no engine waits for one that is down."""
+"""Health checks of KV-cache stores, so that no engine waits for one that is down."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
-#: Seconds for which a store holds a call back; shorter ones count as probes.
-WAIT_S = 0.9
+#: Seconds for which a store may hold a long poll open; a shorter poll counts as a
+#: probe.
+LONG_POLL_S = 0.9
 
-#: Seconds beyond that in which the answer must come.
-ANSWER_S = 0.5
+#: Seconds after the end of a long poll within which the response must arrive.
+RESPONSE_MARGIN_S = 0.5
 
-#: Pause in seconds before a store that did not answer is asked again.
-RETRY_S = 0.3
+#: Delay in seconds before a store that did not answer is polled again.
+RETRY_DELAY_S = 0.3
 
-#: Pause in seconds between two calls that answered, so that many events do not
-#: make many calls.
-PAUSE_S = 0.3
+#: Delay in seconds between two successful polls. It bounds the rate of polls while a
+#: store reports many events.
+POLL_DELAY_S = 0.3
 
 
 @define
 class _Store:
-    """A store under watch."""
+    """A store and its last known state."""
 
     address: str
     state: StoreState | None = None
@@ -38,14 +39,15 @@
 
 
 class StoreWatch:
-    """Long calls to each store, one at a time.
+    """Polls each store with one long poll at a time.
 
     Parameters
     ----------
     loop : Loop
-        Loop in which everything runs.
+        Event loop of the process.
     on_change : callable
-        Called when a store goes down or is back, also for a moment.
+        Called each time a store goes down or comes back, also after a restart that
+        causes no failed poll.
     log : EventLog
         Log of the process.
     """
@@ -61,55 +63,57 @@
 
     @property
     def down(self) -> tuple[str, ...]:
-        """Addresses of the stores that do not answer."""
+        """Addresses of the stores that are down."""
         return tuple(sorted(s.address for s in self._stores.values() if s.is_down))
 
     def watch(self, addresses: set[str]) -> None:
-        """Watch these stores and no others."""
+        """Poll exactly these stores."""
         for address in self._stores.keys() - addresses:
             del self._stores[address]
         for address in addresses - self._stores.keys():
             store = _Store(address)
             self._stores[address] = store
-            self._ask(store)
+            self._poll(store)
 
     def close(self) -> None:
-        """Make no further call."""
+        """Stop polling."""
         self._is_closed = True
 
-    def _ask(self, store: _Store) -> None:
+    def _poll(self, store: _Store) -> None:
         if self._is_closed or self._stores.get(store.address) is not store:
             return
         position = store.state.position if store.state else 0
-        request = watch_request(store.address, position, WAIT_S)
+        request = watch_request(store.address, position, LONG_POLL_S)
         fetch(
             self._loop,
             parse_address(store.address),
             request,
-            WAIT_S + ANSWER_S,
-            lambda answer, why: self._take(store, answer, why),
+            LONG_POLL_S + RESPONSE_MARGIN_S,
+            lambda response, failure: self._on_response(store, response, failure),
         )
 
-    def _take(self, store: _Store, answer: HttpResponse | None, why: str) -> None:
+    def _on_response(
+        self, store: _Store, response: HttpResponse | None, failure: str
+    ) -> None:
         if self._is_closed:
             return
         try:
-            if answer is None:
-                raise GatewayError(why)
-            state = decode_state(answer)
+            if response is None:
+                raise GatewayError(failure)
+            state = decode_state(response)
         except GatewayError as error:
             self._set_down(store, True, str(error))
-            self._loop.call_later(RETRY_S, lambda: self._ask(store))
+            self._loop.call_later(RETRY_DELAY_S, lambda: self._poll(store))
             return
         has_restarted = store.state is not None and (
             state.incarnation != store.state.incarnation
         )
         if has_restarted and not store.is_down:
-            # Routers forget what it held when they hear that it was down.
+            # Routers drop their records of a store's content when it goes down.
             self._set_down(store, True, "restarted")
         store.state = state
         self._set_down(store, False, "answers")
-        self._loop.call_later(PAUSE_S, lambda: self._ask(store))
+        self._loop.call_later(POLL_DELAY_S, lambda: self._poll(store))
 
     def _set_down(self, store: _Store, is_down: bool, reason: str) -> None:
         if store.is_down == is_down:
--- a/berylnotch/daemon/fleet/survey.py
+++ b/berylnotch/daemon/fleet/survey.py
@@ -1,4 +1,4 @@
-"""Asks engines which weights they run, some at a time."""
+"""Queries engines for the weights that they run, with bounded concurrency."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
-#: Seconds in which an engine answers.
-CALL_S = 0.6
+#: Seconds within which an engine must answer a call.
+CALL_TIMEOUT_S = 0.6
 
-#: Engines that are asked at the same time. Connections to all of a large fleet at once
-#: would keep a new leader's thread busy beyond its lease.
-AT_ONCE = 16
+#: Most calls in flight at the same time. Connecting to all engines of a large fleet at
+#: once would keep the thread of a new leader busy until its lease expires.
+MAX_CONCURRENT_CALLS = 16
 
 
 class EngineSurvey:
-    """One round of questions to engines.
+    """Queue of engines to query for their reports.
 
     Parameters
     ----------
     loop : Loop
-        Loop in which everything runs.
+        Event loop of the process.
     on_report : callable
-        Gets each engine that answered, and its report.
+        Called with each engine that answered and its report.
     log : EventLog
         Log of the process.
     """
@@ -44,39 +44,45 @@
         self._loop = loop
         self._on_report = on_report
         self._log = log
-        self._waiting: deque[ListedTarget] = deque()
-        self._under_way = 0
+        self._queue: deque[ListedTarget] = deque()
+        self._calls_in_flight = 0
 
-    def ask(self, engines: Iterable[ListedTarget]) -> None:
-        """Ask engines, after those that wait already."""
-        self._waiting.extend(engines)
-        self._ask_next()
+    def query(self, engines: Iterable[ListedTarget]) -> None:
+        """Queue engines after those that are queued already."""
+        self._queue.extend(engines)
+        self._start_calls()
 
     def close(self) -> None:
-        """Ask no further engine."""
-        self._waiting.clear()
+        """Clear the queue; calls in flight go on."""
+        self._queue.clear()
 
-    def _ask_next(self) -> None:
-        while self._waiting and self._under_way < AT_ONCE:
-            self._under_way += 1
-            self._call(self._waiting.popleft())
+    def _start_calls(self) -> None:
+        while self._queue and self._calls_in_flight < MAX_CONCURRENT_CALLS:
+            self._calls_in_flight += 1
+            self._call(self._queue.popleft())
 
     def _call(self, engine: ListedTarget) -> None:
-        def done(answer: HttpResponse | None, why: str) -> None:
-            self._under_way -= 1
-            self._take(engine, answer, why)
-            self._ask_next()
+        def on_done(response: HttpResponse | None, failure: str) -> None:
+            self._calls_in_flight -= 1
+            self._on_response(engine, response, failure)
+            self._start_calls()
 
         address = parse_address(engine.address)
-        fetch(self._loop, address, report_request(engine.address), CALL_S, done)
+        fetch(
+            self._loop,
+            address,
+            report_request(engine.address),
+            CALL_TIMEOUT_S,
+            on_done,
+        )
 
-    def _take(
-        self, engine: ListedTarget, answer: HttpResponse | None, why: str
+    def _on_response(
+        self, engine: ListedTarget, response: HttpResponse | None, failure: str
     ) -> None:
         try:
-            if answer is None:
-                raise GatewayError(why)
-            report = decode_report(answer)
+            if response is None:
+                raise GatewayError(failure)
+            report = decode_report(response)
         except GatewayError as error:
             self._log.warning(
                 "report_unreadable", target=engine.target_id, reason=str(error)
--- a/berylnotch/daemon/fleet/updates.py
+++ b/berylnotch/daemon/fleet/updates.py
@@ -1,4 +1,4 @@
-"""What a router takes over from the leader's messages."""
+"""Functions that apply the leader's messages to the state of a router."""
 
 from __future__ import annotations
 
@@ -16,25 +16,26 @@
 from berylnotch.quota.bounds import FLEET_QUOTA, HELD_PART, effective_limits
 from berylnotch.util.clock import boot_time
 
-#: Seconds between two requests for tokens in advance, for each router of the fleet: the
-#: owner of limits takes no more than about 250 of them a second, with all
-#: organisations in each. Those for work that waits come beside them.
-ASK_PER_ROUTER_S = 0.004
+#: Interval between two requests for tokens in advance per router of the fleet, in
+#: seconds. The interval of a large fleet grows with it, so that the quota owner
+#: receives at most about 250 of these requests a second, each with all organisations.
+#: Requests for waiting work come in addition.
+GRANT_REQUEST_PER_ROUTER_S = 0.004
 
-#: Seconds between such requests until the number of routers is known: as of
-#: 250 routers, which may all start again at the same moment.
-UNKNOWN_FLEET_ASK_S = 1.0
+#: Interval between such requests in seconds while the number of routers is unknown. It
+#: is that of a fleet of 250 routers, since all of them may restart at the same time.
+INITIAL_GRANT_REQUEST_INTERVAL_S = 1.0
 
 
-def take_targets(context: EntryContext, update: TargetsUpdate) -> None:
-    """Take over targets, named weights, and stores out of reach."""
+def apply_targets(context: EntryContext, update: TargetsUpdate) -> None:
+    """Apply targets, named weight versions and the list of stores that are down."""
     now = boot_time()
     gone = None if update.is_whole else update.gone
-    for lost in context.targets.update(update.targets, gone):
-        context.prompts.forget_engine(lost)
+    for removed_id in context.targets.update(update.targets, gone):
+        context.prompts.forget_engine(removed_id)
     for named in update.weights:
-        at = now - named.age_ms / 1000
-        if context.names.note(named.model, named.version, at):
+        named_at = now - named.age_ms / 1000
+        if context.names.note(named.model, named.version, named_at):
             context.log.info(
                 "weights",
                 model=named.model,
@@ -46,30 +47,34 @@
         context.prompts.forget_stores()
 
 
-def take_loads(
+def apply_loads(
     context: EntryContext, update: LoadsUpdate, own_loads: Iterable[TargetLoad]
 ) -> None:
-    """Take over the other routers' loads: the sums without what this one reported."""
-    own = {load.target_id: load for load in own_loads}
-    totals = {load.target_id: load for load in update.loads}
-    named = {*totals, *update.suspects}
-    # Of thousands of targets most are named neither now nor the time before.
-    for target_id in named | context.loaded_targets:
+    """Apply the other routers' loads: the leader's sums less this router's report."""
+    own_by_id = {load.target_id: load for load in own_loads}
+    total_by_id = {load.target_id: load for load in update.loads}
+    listed_ids = {*total_by_id, *update.suspects}
+    # Most of the thousands of targets are in neither this update nor the previous one.
+    for target_id in listed_ids | context.loaded_targets:
         target = context.targets.get(target_id)
         if target is None:
             continue
-        none = TargetLoad(target_id, 0)
-        total, mine = totals.get(target_id, none), own.get(target_id, none)
-        target.others_in_flight = max(0, total.requests - mine.requests)
-        target.others_unread = max(0, total.unread - mine.unread)
+        zero = TargetLoad(target_id, 0)
+        total_load, own_load = (
+            total_by_id.get(target_id, zero),
+            own_by_id.get(target_id, zero),
+        )
+        target.others_in_flight = max(0, total_load.requests - own_load.requests)
+        target.others_unread = max(0, total_load.unread - own_load.unread)
         target.is_suspect = target_id in update.suspects
-    context.loaded_targets = named
+    context.loaded_targets = listed_ids
 
 
-def take_prompts(context: EntryContext, notes: Iterable[PromptNote]) -> None:
-    """Take over where other routers had prompts read or saved.
+def apply_prompt_notes(context: EntryContext, notes: Iterable[PromptNote]) -> None:
+    """Record the targets and stores where other routers had prompts read or saved.
 
-    What a target has yet to read counts at once; the next sums of loads replace it.
+    Tokens that a target has yet to read are added to its load immediately. The next
+    load sums replace them.
     """
     now = boot_time()
     for note in notes:
@@ -85,21 +90,29 @@
             context.prompts.hear(now, note, capacity)
 
 
-def take_crashes(context: EntryContext, crashes: Iterable[CrashMark]) -> None:
-    """Take over the losses that other routers saw."""
+def apply_crashes(context: EntryContext, crashes: Iterable[CrashMark]) -> None:
+    """Record the target crashes that other routers reported."""
     for mark in crashes:
         context.losses.add(mark.fingerprint, mark.target_id)
 
 
-def share_limits(context: EntryContext) -> None:
-    """Hold an even part of what routers may hold of each organisation's limit."""
+def apply_limits(context: EntryContext) -> None:
+    """Set how many tokens of each organisation's limit this router holds in advance.
+
+    The part of a burst that routers may hold is divided evenly among them. Also sets
+    the interval between requests for these tokens.
+    """
     if context.routes is None:
         return
     organisations = context.routes.configuration.organisations or ()
     limits = effective_limits(organisations, context.fleet.bounds)
     quota = context.gate.quota
-    part = HELD_PART / context.router_count
-    paced_s = max(FLEET_QUOTA.ask_interval_s, ASK_PER_ROUTER_S * context.router_count)
-    quota.pace(paced_s if context.is_roster_known else UNKNOWN_FLEET_ASK_S)
+    share = HELD_PART / context.router_count
+    interval_s = max(
+        FLEET_QUOTA.ask_interval_s, GRANT_REQUEST_PER_ROUTER_S * context.router_count
+    )
+    quota.pace(
+        interval_s if context.is_roster_known else INITIAL_GRANT_REQUEST_INTERVAL_S
+    )
     for name, limit in limits.items():
-        quota.keep(name, int(limit.burst * part))
+        quota.keep(name, int(limit.burst * share))
--- a/berylnotch/daemon/fleet/watch.py
+++ b/berylnotch/daemon/fleet/watch.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of targets, page by page."""
+"""Periodic reading of the platform's target list, page by page."""
 
 from __future__ import annotations
 
@@ -13,50 +13,51 @@
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
-#: Seconds in which a page must come.
-CALL_S = 0.8
+#: Seconds within which a page must arrive.
+CALL_TIMEOUT_S = 0.8
 
-#: Pause in seconds after a failed call.
-RETRY_S = 0.4
+#: Delay in seconds before a retry of a failed call, and upper bound of the pause
+#: between pages.
+RETRY_DELAY_S = 0.4
 
-#: Part of the calls that the list answers which one reading takes; a leader that was
-#: replaced may not know it yet, and reads on.
-RATE_PART = 0.5
+#: Share of the list's rate limit that one reader uses. A deposed leader may not know of
+#: its successor yet and may still be reading at the same time.
+RATE_SHARE = 0.5
 
-#: Factor by which the pause between pages grows after a call beyond the rate. The list
-#: may answer fewer calls than it states, and refused calls bring nothing.
-SLOWER_FACTOR = 1.5
+#: Factor by which the pause between pages grows after a rate-limited call. The list may
+#: allow fewer calls than its stated rate, and refused calls return no targets.
+PAUSE_INCREASE_FACTOR = 1.5
 
-#: Factor by which it shrinks with each list that was read without such a call.
-FASTER_FACTOR = 0.9
+#: Factor by which that pause shrinks after each list read without a rate-limited call.
+PAUSE_DECREASE_FACTOR = 0.9
 
-#: Times that one page is asked for before the reading begins anew.
-PAGE_TRIES = 3
+#: Attempts for one page before the reading restarts from the first page.
+MAX_PAGE_ATTEMPTS = 3
 
-#: Status of a call beyond that rate.
-TOO_MANY_CALLS = 429
+#: HTTP status of a rate-limited call.
+TOO_MANY_REQUESTS = 429
 
-#: Pages of one reading; more are cut off with a line in the log.
+#: Most pages of one reading; a longer list is truncated, with a line in the log.
 MAX_PAGES = 200
 
 
 class TargetWatch:
-    """Periodic reading of the whole list.
+    """Reads the whole target list periodically.
 
     Parameters
     ----------
     loop : Loop
-        Loop in which everything runs.
+        Event loop of the process.
     address : Address
-        Where the list is served.
+        Address of the server of the list.
     period_s : float
-        Pause between two readings.
+        Pause between two readings, in seconds.
     rate : float
-        Calls a second that the list answers.
+        Rate limit of the list, in calls a second.
     on_page : callable
-        Gets the targets of each page.
+        Called with the targets of each page except the last.
     on_list : callable
-        Gets each whole list.
+        Called with the targets of each completely read list.
     log : EventLog
         Log of the process.
     """
@@ -80,74 +81,86 @@
         self._is_closed = False
         self._targets: list[ListedTarget] = []
         self._skipped = 0
-        self._pages = 0
-        self._page = ""
-        self._least_pause_s = self._pause_s = 1 / (RATE_PART * rate)
-        #: Whether the newest call, and any of this reading, was beyond the rate.
-        self._is_refused = False
-        self._is_limited = False
-        self._tries = 0
+        self._page_count = 0
+        self._page_token = ""
+        self._min_pause_s = self._pause_s = 1 / (RATE_SHARE * rate)
+        #: Whether the last call, or any call of the current reading, was rate-limited.
+        self._is_last_call_limited = False
+        self._is_reading_limited = False
+        self._attempts = 0
         self._is_failing = False
 
     def start(self) -> None:
-        """Begin to read."""
-        self._begin()
+        """Start the first reading."""
+        self._start_reading()
 
     def close(self) -> None:
-        """Read no further page."""
+        """Request no further pages."""
         self._is_closed = True
 
-    def _begin(self) -> None:
-        self._targets, self._skipped, self._pages, self._tries = [], 0, 0, 0
-        self._is_limited = False
-        self._read("")
+    def _start_reading(self) -> None:
+        self._targets, self._skipped, self._page_count, self._attempts = [], 0, 0, 0
+        self._is_reading_limited = False
+        self._request_page("")
 
-    def _read(self, page: str) -> None:
+    def _request_page(self, page: str) -> None:
         if self._is_closed:
             return
-        self._page = page
+        self._page_token = page
         request = list_request(str(self._address), page)
-        fetch(self._loop, self._address, request, CALL_S, self._take)
+        fetch(self._loop, self._address, request, CALL_TIMEOUT_S, self._on_response)
 
-    def _take(self, response: HttpResponse | None, why: str) -> None:
+    def _on_response(self, response: HttpResponse | None, failure: str) -> None:
         if self._is_closed:
             return
-        if response is not None and response.status == TOO_MANY_CALLS:
-            # What was read so far holds; a new reading would meet the limit again.
-            if not self._is_refused:
-                self._pause_s = min(SLOWER_FACTOR * self._pause_s, RETRY_S)
-            self._is_refused = self._is_limited = True
+        if response is not None and response.status == TOO_MANY_REQUESTS:
+            # The pages read so far stay valid; a restart would exceed the limit again.
+            if not self._is_last_call_limited:
+                self._pause_s = min(
+                    PAUSE_INCREASE_FACTOR * self._pause_s, RETRY_DELAY_S
+                )
+            self._is_last_call_limited = self._is_reading_limited = True
             self._log.info(
-                "target_list_limited", pages=self._pages, pause_s=self._pause_s
+                "target_list_limited", pages=self._page_count, pause_s=self._pause_s
+            )
+            self._loop.call_later(
+                self._pause_s, lambda: self._request_page(self._page_token)
             )
-            self._loop.call_later(self._pause_s, lambda: self._read(self._page))
             return
-        self._is_refused = False
+        self._is_last_call_limited = False
         try:
             if response is None:
-                raise GatewayError(why)
+                raise GatewayError(failure)
             page = decode_page(response)
         except GatewayError as error:
             if not self._is_failing:
                 self._log.warning("target_list_lost", reason=str(error))
             self._is_failing = True
-            self._tries += 1
-            is_given_up = not self._page or self._tries >= PAGE_TRIES
-            again = self._begin if is_given_up else lambda: self._read(self._page)
-            self._loop.call_later(RETRY_S, again)
+            self._attempts += 1
+            must_restart = not self._page_token or self._attempts >= MAX_PAGE_ATTEMPTS
+            retry = (
+                self._start_reading
+                if must_restart
+                else lambda: self._request_page(self._page_token)
+            )
+            self._loop.call_later(RETRY_DELAY_S, retry)
             return
         self._targets += page.targets
         self._skipped += page.skipped
-        self._pages += 1
-        if page.next_page and self._pages < MAX_PAGES:
-            self._tries = 0
+        self._page_count += 1
+        if page.next_page and self._page_count < MAX_PAGES:
+            self._attempts = 0
             self._on_page(page.targets)
-            self._loop.call_later(self._pause_s, lambda: self._read(page.next_page))
+            self._loop.call_later(
+                self._pause_s, lambda: self._request_page(page.next_page)
+            )
             return
         if self._is_failing or page.next_page:
             self._log.info("target_list_read", is_cut_off=bool(page.next_page))
         self._is_failing = False
-        if not self._is_limited:
-            self._pause_s = max(FASTER_FACTOR * self._pause_s, self._least_pause_s)
+        if not self._is_reading_limited:
+            self._pause_s = max(
+                PAUSE_DECREASE_FACTOR * self._pause_s, self._min_pause_s
+            )
         self._on_list(tuple(self._targets))
-        self._loop.call_later(self._period_s, self._begin)
+        self._loop.call_later(self._period_s, self._start_reading)
--- a/berylnotch/daemon/fleet/weights.py
+++ b/berylnotch/daemon/fleet/weights.py
@@ -1,4 +1,4 @@
-"""Rolls named weights out to the engines, by fenced orders of the leader."""
+"""Rollout of named weights to the engines, by fenced orders of the leader."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from attrs import define
 
 from berylnotch.daemon.fleet.order_right import OrderRight
-from berylnotch.daemon.fleet.survey import CALL_S, EngineSurvey
+from berylnotch.daemon.fleet.survey import CALL_TIMEOUT_S, EngineSurvey
 from berylnotch.errors import GatewayError
 from berylnotch.membership.board import TargetBoard
 from berylnotch.membership.listing import ListedTarget, ModelVersion
@@ -28,87 +28,89 @@
 from berylnotch.util.loop import Loop
 
 #: Longest time in seconds for which an engine is emptied of long requests before it
-#: loads; it serves short ones meanwhile.
-EMPTY_S = 4.0
+#: loads. It serves short requests during that time.
+MAX_EMPTYING_S = 4.0
 
-#: The same for an engine whose weights must not be used for much longer: runs that
-#: can go on at another engine have left by then.
-EMPTY_OVERDUE_S = 0.5
+#: The same for an engine with overdue weights: runs that can move to another engine
+#: have moved by then.
+MAX_EMPTYING_OVERDUE_S = 0.5
 
-#: Part of the time that operators allow on older weights from which that holds.
-EMPTY_PART = 0.85
+#: Share of the configured `weights_s` limit after which older weights are overdue.
+OVERDUE_SHARE = 0.85
 
-#: Seconds from telling routers until their last long request has been reported, and
-#: between two looks whether the long requests have ended.
-EMPTY_SETTLE_S = 0.1
-EMPTY_LOOK_S = 0.05
+#: Seconds from notifying routers that an engine is being emptied until their last long
+#: requests have been reported, and the interval in seconds between two checks for the
+#: end of the long requests.
+EMPTYING_REPORT_DELAY_S = 0.1
+EMPTYING_CHECK_INTERVAL_S = 0.05
 
-#: Seconds between marking an engine as loading and its order, so that routers
-#: have sent their last request there.
-SETTLE_S = 0.05
+#: Seconds between marking an engine as loading and sending its order. Routers have sent
+#: their last request to it by then.
+ORDER_DELAY_S = 0.05
 
-#: Seconds from an order to the first look whether it was carried out, before any load
-#: was measured.
-FIRST_LOOK_S = 0.5
+#: Seconds from an order to the first poll of its result, while no load time is known.
+DEFAULT_FIRST_POLL_DELAY_S = 0.5
 
-#: Part of the shortest load that was measured after which the first look comes.
-FIRST_LOOK_PART = 0.9
+#: Share of the shortest measured load time after which the first poll is made.
+FIRST_POLL_SHARE = 0.9
 
-#: Seconds between two looks; a look costs less than an idle engine.
-LOOK_S = 0.12
+#: Seconds between two polls. A poll costs less than an engine that stays idle.
+POLL_INTERVAL_S = 0.12
 
-#: Seconds after which an engine that is not busy carries no order out.
-IDLE_S = 0.8
+#: Seconds after an order from which a report of an idle engine means that the engine
+#: does not carry the order out.
+IDLE_TIMEOUT_S = 0.8
 
-#: Seconds after which an order that shows no effect is given again.
-ORDER_S = 5.0
+#: Seconds after an order from which an engine without a readable report counts as
+#: failed. It gets a new order after the back-off.
+ORDER_TIMEOUT_S = 5.0
 
-#: Pause in seconds before an engine that failed gets another order.
-FAILED_S = 1.0
+#: Back-off in seconds before an engine that failed gets another order.
+FAILURE_BACKOFF_S = 1.0
 
 
 @define
 class _Load:
-    """A load that is under way."""
+    """A load of weights in progress."""
 
-    wanted: WeightsLoad
+    planned: WeightsLoad
     target: ListedTarget
-    begun_at: float
+    started_at: float
     ordered_at: float = 0.0
     has_ended: bool = False
-    #: Whether an earlier leader ordered it.
-    is_followed: bool = False
+    #: Whether an earlier leader sent the order.
+    is_adopted: bool = False
 
 
 class WeightsRollout:
-    """Loads under way of one leader.
+    """Weight loads in progress during one term of a leader.
 
     Parameters
     ----------
     loop : Loop
-        Loop in which everything runs.
+        Event loop of the process.
     board : TargetBoard
         All targets.
     names : WeightsNames
-        Named versions, and when each was.
-    right : OrderRight
-        Right to give orders.
+        Named versions and the times at which they were named.
+    order_right : OrderRight
+        Right to send orders, held by one controller at a time.
     is_active : callable
-        Returns whether this process leads, by a fresh clock.
-    busy : callable
-        Returns the requests under way at each target.
+        Returns whether this process holds the leader lease at the current time.
+    in_flight_counts : callable
+        Returns the number of requests in flight by target id.
     long_requests : callable
-        Returns the requests under way at a target that take long.
+        Returns the number of long requests in flight at a target.
     unreachable : callable
-        Returns the targets that routers have left out.
+        Returns the ids of the targets that routers have ejected.
     holder : str
         Name of this process in orders.
     epoch : int
-        Fencing number of this leader.
+        Fencing token of this leader.
     weights_s : float
-        Time after a version was named in which requests may begin on older ones.
+        Seconds after a version was named during which requests may start on older ones.
     on_change : callable
-        Called when an engine begins or ends to load.
+        Called when an engine starts or ends being emptied or loading.
     log : EventLog
         Log of the process.
     """
@@ -118,9 +120,9 @@
         loop: Loop,
         board: TargetBoard,
         names: WeightsNames,
-        right: OrderRight,
+        order_right: OrderRight,
         is_active: Callable[[], bool],
-        busy: Callable[[], dict[str, int]],
+        in_flight_counts: Callable[[], dict[str, int]],
         long_requests: Callable[[str], int],
         unreachable: Callable[[], frozenset[str]],
         holder: str,
@@ -132,128 +134,138 @@
         self._loop = loop
         self._board = board
         self._names = names
-        self._right = right
+        self._order_right = order_right
         self._is_active = is_active
-        self._busy = busy
+        self._in_flight_counts = in_flight_counts
         self._long_requests = long_requests
         self._unreachable = unreachable
         self._holder = holder
         self._epoch = epoch
-        self._hurry_s = HURRY_PART * weights_s
-        self._empty_until_s = EMPTY_PART * weights_s
-        #: Shortest time from an order to the load that it led to.
-        self._shortest_load_s: float | None = None
+        self._urgent_after_s = HURRY_PART * weights_s
+        self._overdue_after_s = OVERDUE_SHARE * weights_s
+        #: Shortest time in seconds from an order to the end of its load.
+        self._min_load_s: float | None = None
         self._on_change = on_change
         self._log = log
         self._loads: dict[str, _Load] = {}
-        self._held_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._is_closed = False
-        self._survey = EngineSurvey(loop, self._surveyed, log)
+        self._survey = EngineSurvey(loop, self._on_survey_report, log)
 
     def close(self) -> None:
-        """Give no further order."""
+        """Send no further orders."""
         self._is_closed = True
         self._survey.close()
 
     def survey(self) -> None:
-        """Ask the engines that the list shows as outdated; it is some seconds behind.
+        """Query the engines that have outdated weights according to the target list.
 
-        They may have loaded meanwhile, or an earlier leader's order is under way.
+        The list lags by some seconds: an engine may have loaded since, or may be
+        carrying out an order of an earlier leader.
         """
-        wanted = self._names.versions()
-        self._survey.ask(
+        newest_versions = self._names.versions()
+        self._survey.query(
             target
             for target in self._board.targets()
-            if any(m.version < wanted.get(m.name, 0) for m in target.models)
+            if any(m.version < newest_versions.get(m.name, 0) for m in target.models)
         )
 
-    def _surveyed(self, target: ListedTarget, report: EngineReport) -> None:
+    def _on_survey_report(self, target: ListedTarget, report: EngineReport) -> None:
         if self._is_closed:
             return
-        wanted = self._names.versions()
+        newest_versions = self._names.versions()
         for model in report.models:
             self._board.loaded(boot_time(), target.target_id, model)
-        model = next((m for m in report.models if m.name in wanted), None)
+        model = next((m for m in report.models if m.name in newest_versions), None)
         if report.is_busy and model is not None:
-            self._follow(target, model.name, wanted[model.name])
+            self._adopt_load(target, model.name, newest_versions[model.name])
         self._on_change()
 
-    def _follow(self, target: ListedTarget, model: str, version: int) -> None:
-        """Watch a load that an earlier leader ordered."""
+    def _adopt_load(self, target: ListedTarget, model: str, version: int) -> None:
+        """Track a load that an earlier leader ordered."""
         if target.target_id in self._loads:
             return
         now = boot_time()
-        wanted = WeightsLoad(target.target_id, model, version)
-        load = _Load(wanted, target, now, ordered_at=now, is_followed=True)
+        planned = WeightsLoad(target.target_id, model, version)
+        load = _Load(planned, target, now, ordered_at=now, is_adopted=True)
         self._loads[target.target_id] = load
         self._board.began_loading(now, target.target_id)
-        self._loop.call_later(LOOK_S, lambda: self._look(load))
+        self._loop.call_later(POLL_INTERVAL_S, lambda: self._poll(load))
 
     def advance(self) -> None:
-        """Begin the loads that are due."""
-        wanted = self._names.versions()
-        if self._is_closed or not wanted or not self._is_active():
+        """Start the loads that are due."""
+        newest_versions = self._names.versions()
+        if self._is_closed or not newest_versions or not self._is_active():
             return
         now = boot_time()
-        held_back = {name for name, until in self._held_until.items() if until > now}
-        # They must load now, even if routers do not reach them.
-        held_back |= self._unreachable() - self._overdue(now, self._hurry_s)
+        excluded = {
+            target_id
+            for target_id, ends_at in self._backoff_until.items()
+            if ends_at > now
+        }
+        # Engines with urgent loads must load now, even if routers cannot reach them.
+        excluded |= self._unreachable() - self._outdated_targets(
+            now, self._urgent_after_s
+        )
         loads = next_loads(
             self._board.targets(),
-            wanted,
+            newest_versions,
             self._loads.keys(),
-            held_back,
-            self._busy(),
+            excluded,
+            self._in_flight_counts(),
             lambda model, version: self._names.outdated_s(now, model, version),
-            self._hurry_s,
+            self._urgent_after_s,
         )
-        if loads and not self._right.is_held:
-            self._right.ask()
+        if loads and not self._order_right.is_held:
+            self._order_right.ask()
             return
-        for due in loads:
-            target = self._board.target(due.target_id)
-            load = _Load(due, target, now)
-            self._loads[due.target_id] = load
-            self._right.began()
-            if not self._long_requests(due.target_id):
-                self._take_away(load)
+        for planned in loads:
+            target = self._board.target(planned.target_id)
+            load = _Load(planned, target, now)
+            self._loads[planned.target_id] = load
+            self._order_right.began()
+            if not self._long_requests(planned.target_id):
+                self._start_loading(load)
             else:
-                self._board.began_emptying(due.target_id)
+                self._board.began_emptying(planned.target_id)
                 self._loop.call_later(
-                    EMPTY_SETTLE_S, lambda load=load: self._wait_until_empty(load)
+                    EMPTYING_REPORT_DELAY_S,
+                    lambda load=load: self._wait_until_empty(load),
                 )
             self._log.info(
                 "load_begun",
-                target=due.target_id,
-                model=due.model,
-                version=due.version,
-                was=_version(target, due.model),
+                target=planned.target_id,
+                model=planned.model,
+                version=planned.version,
+                was=_version(target, planned.model),
                 list_age_s=now - (self._board.listed_at or now),
             )
         if loads:
             self._on_change()
 
-    def _take_away(self, load: _Load) -> None:
-        """Let routers send nothing more, and order soon."""
-        self._board.began_loading(boot_time(), load.wanted.target_id)
-        self._loop.call_later(SETTLE_S, lambda: self._ask(load))
+    def _start_loading(self, load: _Load) -> None:
+        """Take an engine out of routing and schedule its order."""
+        self._board.began_loading(boot_time(), load.planned.target_id)
+        self._loop.call_later(ORDER_DELAY_S, lambda: self._request_report(load))
         self._on_change()
 
     def _wait_until_empty(self, load: _Load) -> None:
-        """Take an engine away once its long requests have ended, or late."""
-        if self._is_over(load):
+        """Start a load once the long requests have ended or their time is over."""
+        if self._check_ended(load):
             return
-        target_id, now = load.wanted.target_id, boot_time()
-        is_overdue = target_id in self._overdue(now, self._empty_until_s)
-        allowed_s = EMPTY_OVERDUE_S if is_overdue else EMPTY_S
-        is_late = now - load.begun_at > allowed_s
+        target_id, now = load.planned.target_id, boot_time()
+        is_overdue = target_id in self._outdated_targets(now, self._overdue_after_s)
+        max_emptying_s = MAX_EMPTYING_OVERDUE_S if is_overdue else MAX_EMPTYING_S
+        is_late = now - load.started_at > max_emptying_s
         if is_late or not self._long_requests(target_id):
-            self._take_away(load)
+            self._start_loading(load)
         else:
-            self._loop.call_later(EMPTY_LOOK_S, lambda: self._wait_until_empty(load))
+            self._loop.call_later(
+                EMPTYING_CHECK_INTERVAL_S, lambda: self._wait_until_empty(load)
+            )
 
-    def _overdue(self, now: float, after_s: float) -> frozenset[str]:
-        """Return the targets whose weights were outdated for longer than this."""
+    def _outdated_targets(self, now: float, after_s: float) -> frozenset[str]:
+        """Return the targets whose weights are outdated for more than ``after_s``."""
         return frozenset(
             target.target_id
             for target in self._board.targets()
@@ -265,41 +277,51 @@
         self,
         load: _Load,
         request: HttpRequest,
-        done: Callable[[HttpResponse | None, str], None],
+        on_done: Callable[[HttpResponse | None, str], None],
     ) -> None:
         address = parse_address(load.target.address)
-        fetch(self._loop, address, request, CALL_S, done)
+        fetch(self._loop, address, request, CALL_TIMEOUT_S, on_done)
 
-    def _ask(self, load: _Load) -> None:
-        if self._is_over(load):
+    def _request_report(self, load: _Load) -> None:
+        if self._check_ended(load):
             return
         request = report_request(load.target.address)
-        self._call(load, request, lambda answer, why: self._asked(load, answer, why))
+        self._call(
+            load,
+            request,
+            lambda response, failure: self._on_report_response(load, response, failure),
+        )
 
-    def _asked(self, load: _Load, answer: HttpResponse | None, why: str) -> None:
-        if self._is_over(load):
+    def _on_report_response(
+        self, load: _Load, response: HttpResponse | None, failure: str
+    ) -> None:
+        if self._check_ended(load):
             return
-        report = self._read(load, answer, why)
+        report = self._decode_report(load, response, failure)
         if report is None:
-            self._end(load, f"no report: {why}", FAILED_S)
-        elif self._is_done(load, report):
-            self._finish(load, report)
+            self._end_load(load, f"no report: {failure}", FAILURE_BACKOFF_S)
+        elif self._is_loaded(load, report):
+            self._finish_load(load, report)
         elif report.is_busy:
             load.ordered_at = boot_time()
-            self._loop.call_later(LOOK_S, lambda: self._look(load))
-        elif not self._right.is_held or not self._is_active():
-            self._end(load, "no right to give orders", FAILED_S)
+            self._loop.call_later(POLL_INTERVAL_S, lambda: self._poll(load))
+        elif not self._order_right.is_held or not self._is_active():
+            self._end_load(
+                load,
+                "this leader does not hold the right to send orders",
+                FAILURE_BACKOFF_S,
+            )
         else:
-            self._order(load, report)
+            self._send_order(load, report)
 
-    def _order(self, load: _Load, report: EngineReport) -> None:
+    def _send_order(self, load: _Load, report: EngineReport) -> None:
         load.ordered_at = boot_time()
         order = WeightsOrder(
-            load.wanted.model,
-            load.wanted.version,
+            load.planned.model,
+            load.planned.version,
             self._holder,
             self._epoch,
-            load.wanted.target_id,
+            load.planned.target_id,
             report.orders_taken,
         )
         self._log.info(
@@ -311,117 +333,134 @@
             orders_taken=order.orders_taken,
         )
         request = order_request(load.target.address, order)
-        self._call(load, request, lambda answer, why: self._ordered(load, answer, why))
+        self._call(
+            load,
+            request,
+            lambda response, failure: self._on_order_response(load, response, failure),
+        )
 
-    def _ordered(self, load: _Load, answer: HttpResponse | None, why: str) -> None:
-        if self._is_over(load):
+    def _on_order_response(
+        self, load: _Load, response: HttpResponse | None, failure: str
+    ) -> None:
+        if self._check_ended(load):
             return
-        status = answer.status if answer is not None else 0
+        status = response.status if response is not None else 0
         self._log.info(
             "order_answered",
-            target=load.wanted.target_id,
+            target=load.planned.target_id,
             status=status or "none",
-            reason=why or "answered",
+            reason=failure or "answered",
         )
         if status in (400, 412, 421):
-            self._end(load, f"order refused with {status}", FAILED_S)
+            self._end_load(
+                load,
+                f"engine refused the order with status {status}",
+                FAILURE_BACKOFF_S,
+            )
         elif status == 200:
-            self._loop.call_later(0.0, lambda: self._look(load))
+            self._loop.call_later(0.0, lambda: self._poll(load))
         elif status == 202:
-            self._loop.call_later(self._first_look_s, lambda: self._look(load))
+            self._loop.call_later(self._first_poll_delay_s, lambda: self._poll(load))
         else:
-            # It may have been accepted, or be carried out later.
-            self._loop.call_later(LOOK_S, lambda: self._look(load))
+            # The engine may have accepted the order, or may carry it out later.
+            self._loop.call_later(POLL_INTERVAL_S, lambda: self._poll(load))
 
-    def _look(self, load: _Load) -> None:
-        if self._is_over(load):
+    def _poll(self, load: _Load) -> None:
+        if self._check_ended(load):
             return
         request = report_request(load.target.address)
-        self._call(load, request, lambda answer, why: self._looked(load, answer, why))
+        self._call(
+            load,
+            request,
+            lambda response, failure: self._on_poll_response(load, response, failure),
+        )
 
-    def _looked(self, load: _Load, answer: HttpResponse | None, why: str) -> None:
-        if self._is_over(load):
+    def _on_poll_response(
+        self, load: _Load, response: HttpResponse | None, failure: str
+    ) -> None:
+        if self._check_ended(load):
             return
-        report = self._read(load, answer, why)
+        report = self._decode_report(load, response, failure)
         waited_s = boot_time() - load.ordered_at
         if report is None:
-            if waited_s > ORDER_S:
-                self._end(load, f"no report: {why}", FAILED_S)
+            if waited_s > ORDER_TIMEOUT_S:
+                self._end_load(load, f"no report: {failure}", FAILURE_BACKOFF_S)
                 return
-        elif self._is_done(load, report):
-            self._note_load(waited_s)
-            self._finish(load, report)
+        elif self._is_loaded(load, report):
+            self._record_load_time(waited_s)
+            self._finish_load(load, report)
             return
-        elif not report.is_busy and waited_s > IDLE_S:
-            # Reports lag, so only a late one proves that nothing happens.
-            self._finish(load, report)
+        elif not report.is_busy and waited_s > IDLE_TIMEOUT_S:
+            # Reports lag, so an idle engine is conclusive only after this time.
+            self._finish_load(load, report)
             return
-        self._loop.call_later(LOOK_S, lambda: self._look(load))
+        self._loop.call_later(POLL_INTERVAL_S, lambda: self._poll(load))
 
     @property
-    def _first_look_s(self) -> float:
-        if self._shortest_load_s is None:
-            return FIRST_LOOK_S
-        return FIRST_LOOK_PART * self._shortest_load_s
+    def _first_poll_delay_s(self) -> float:
+        if self._min_load_s is None:
+            return DEFAULT_FIRST_POLL_DELAY_S
+        return FIRST_POLL_SHARE * self._min_load_s
 
-    def _note_load(self, took_s: float) -> None:
-        if self._shortest_load_s is None or took_s < self._shortest_load_s:
-            self._shortest_load_s = took_s
+    def _record_load_time(self, took_s: float) -> None:
+        if self._min_load_s is None or took_s < self._min_load_s:
+            self._min_load_s = took_s
 
-    def _read(
-        self, load: _Load, answer: HttpResponse | None, why: str
+    def _decode_report(
+        self, load: _Load, response: HttpResponse | None, failure: str
     ) -> EngineReport | None:
-        if answer is None:
+        if response is None:
             return None
         try:
-            return decode_report(answer)
+            return decode_report(response)
         except GatewayError as error:
             self._log.warning(
-                "report_unreadable", target=load.wanted.target_id, reason=str(error)
+                "report_unreadable", target=load.planned.target_id, reason=str(error)
             )
             return None
 
-    def _is_done(self, load: _Load, report: EngineReport) -> bool:
+    def _is_loaded(self, load: _Load, report: EngineReport) -> bool:
         if report.is_busy:
             return False
-        wanted = load.wanted
+        planned = load.planned
         return any(
-            m.name == wanted.model and m.version >= wanted.version
+            m.name == planned.model and m.version >= planned.version
             for m in report.models
         )
 
-    def _finish(self, load: _Load, report: EngineReport) -> None:
+    def _finish_load(self, load: _Load, report: EngineReport) -> None:
         for model in report.models:
-            if model.name == load.wanted.model:
+            if model.name == load.planned.model:
                 version = ModelVersion(model.name, model.version)
-                self._board.loaded(boot_time(), load.wanted.target_id, version)
-        self._end(load, "", 0.0)
+                self._board.loaded(boot_time(), load.planned.target_id, version)
+        self._end_load(load, "", 0.0)
 
-    def _end(self, load: _Load, reason: str, hold_s: float) -> None:
-        target_id, now = load.wanted.target_id, boot_time()
+    def _end_load(self, load: _Load, reason: str, backoff_s: float) -> None:
+        target_id, now = load.planned.target_id, boot_time()
         load.has_ended = True
-        if not load.is_followed:
-            self._right.ended()
+        if not load.is_adopted:
+            self._order_right.ended()
         self._loads.pop(target_id, None)
         self._board.stopped_loading(target_id)
-        if hold_s:
-            self._held_until[target_id] = now + hold_s
+        if backoff_s:
+            self._backoff_until[target_id] = now + backoff_s
         self._log.info(
             "load_ended",
             target=target_id,
-            version=load.wanted.version,
+            version=load.planned.version,
             outcome=reason or "loaded",
-            took_s=now - load.begun_at,
+            took_s=now - load.started_at,
         )
         self._on_change()
         self.advance()
 
-    def _is_over(self, load: _Load) -> bool:
+    def _check_ended(self, load: _Load) -> bool:
+        """Whether a load is over; ends it if its target is gone or was restarted."""
         if self._is_closed or load.has_ended:
             return True
-        current = self._board.target(load.wanted.target_id)
+        current = self._board.target(load.planned.target_id)
         if current is None or current.born_ms != load.target.born_ms:
-            self._end(load, "target is gone or was restarted", 0.0)
+            self._end_load(load, "target was removed or restarted", 0.0)
             return True
         return False
 
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of a fleet on loopback, and a caller for them."""
+"""Fleet of real processes on loopback addresses, and calls to them."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from berylnotch.util.address import Address
 from tests.fleet.platform import MODEL, PlatformStandIn
 
-#: Longest wait for a condition, in seconds; conditions usually hold at once.
-PATIENCE_S = 30.0
+#: Default time limit for a condition in seconds. Most conditions hold immediately.
+DEFAULT_TIMEOUT_S = 30.0
 
 KEY = "key-of-alpha"
 
-_SETTINGS = """[process]
+_SETTINGS_TEMPLATE = """[process]
 name = {name}
 ip = {ip}
 failure-domain = north
@@ -50,48 +50,48 @@
 """
 
 
-def until(condition, what: str, patience_s: float = PATIENCE_S):
-    """Wait for a condition and return its value."""
-    deadline = time.monotonic() + patience_s
+def until(condition, description: str, timeout_s: float = DEFAULT_TIMEOUT_S):
+    """Wait until a condition returns a true value, and return that value."""
+    deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
         time.sleep(0.02)
-    raise AssertionError(f"not within {patience_s:g} s: {what}")
+    raise AssertionError(f"not within {timeout_s:g} s: {description}")
 
 
 def gauge(text: str, name: str) -> float:
-    """Return a gauge from the text of a process's metrics."""
+    """Return the value of a gauge from the text of a process's metrics."""
     return next(
         float(line.split()[1]) for line in text.splitlines() if line.startswith(name)
     )
 
 
 def configuration(version: int, **changes: object) -> dict:
-    """Return a configuration with a stream route and two plain ones."""
-    base = {
+    """Return a configuration with a streaming route and two plain routes."""
+    defaults = {
         "host": "app.example",
         "timeoutMs": 5000,
     }
-    base.update(changes)
+    defaults.update(changes)
     routes = [
         _route(
             "chat",
             "/chat/",
             "streaming",
             "llm",
-            base,
-            resumable=base.pop("resumable", True),
+            defaults,
+            resumable=defaults.pop("resumable", True),
         ),
-        _route("book", "/book/", "non_idempotent", "desk", base),
-        _route("read", "/read/", "idempotent", "desk", base),
+        _route("book", "/book/", "non_idempotent", "desk", defaults),
+        _route("read", "/read/", "idempotent", "desk", defaults),
     ]
     engine = {
         "slots": 8,
         "kvCapacityTokens": 100000,
         "models": [{"name": MODEL}],
-        "moves": base.get("moves", False),
+        "moves": defaults.get("moves", False),
     }
     services = [
         {"name": "llm", "healthPath": "/healthz", "maxConns": 99, "engine": engine},
@@ -99,7 +99,7 @@
     ]
     tenant = {
         "name": "alpha",
-        "apiKeys": base.get("keys", [KEY]),
+        "apiKeys": defaults.get("keys", [KEY]),
         "priority": 1,
         "unit": "tokens",
         "uncachedTokens": 200,
@@ -109,20 +109,20 @@
     }
     return {
         "version": version,
-        "routes": routes + list(base.get("more", [])),
+        "routes": routes + list(defaults.get("more", [])),
         "services": services,
         "tenants": [tenant],
         "limits": {"headerTimeoutMs": 1000, "idleTimeoutMs": 15000},
     }
 
 
-def _route(name, prefix, kind, service, base, resumable=False) -> dict:
+def _route(name, prefix, kind, service, defaults, resumable=False) -> dict:
     return {
         "name": name,
-        "hostname": base["host"],
+        "hostname": defaults["host"],
         "pathPrefix": prefix,
         "routeType": kind,
-        "timeoutMs": base["timeoutMs"],
+        "timeoutMs": defaults["timeoutMs"],
         "targetLatencyMs": 400,
         "priority": 0,
         "service": service,
@@ -136,7 +136,7 @@
 
 @define(eq=False)
 class FleetProcess:
-    """A started process, its settings and its log."""
+    """Process of a fleet, its settings file and its log file."""
 
     name: str
     role: str
@@ -148,12 +148,14 @@
     process: subprocess.Popen | None = None
 
     def start(self) -> None:
-        out = open(self.log, "ab")
+        log_file = open(self.log, "ab")
         command = [sys.executable, "-m", "berylnotch.cmd.fleetd", self.role]
         self.process = subprocess.Popen(
-            [*command, "--settings", str(self.settings)], stdout=out, stderr=out
+            [*command, "--settings", str(self.settings)],
+            stdout=log_file,
+            stderr=log_file,
         )
-        out.close()
+        log_file.close()
 
     def signal(self, number: int) -> None:
         if self.process is not None and self.process.poll() is None:
@@ -165,27 +167,27 @@
         self.process.wait()
 
     def lines(self) -> list[dict[str, str]]:
-        """Return the events of the log, as fields."""
-        return [_fields(line) for line in self.log.read_text().splitlines()]
-
-
-def _fields(line: str) -> dict[str, str]:
-    fields, rest = {}, line
-    while "=" in rest:
-        name, _, rest = rest.partition("=")
-        if rest.startswith('"'):
-            end = rest.index('"', 1)
-            while rest[end - 1] == "\\":
-                end = rest.index('"', end + 1)
-            value, rest = rest[1:end], rest[end + 1 :]
+        """Return the lines of the log, each as a dict of its fields."""
+        return [_parse_fields(line) for line in self.log.read_text().splitlines()]
+
+
+def _parse_fields(line: str) -> dict[str, str]:
+    fields, remainder = {}, line
+    while "=" in remainder:
+        name, _, remainder = remainder.partition("=")
+        if remainder.startswith('"'):
+            end = remainder.index('"', 1)
+            while remainder[end - 1] == "\\":
+                end = remainder.index('"', end + 1)
+            value, remainder = remainder[1:end], remainder[end + 1 :]
         else:
-            value, _, rest = rest.partition(" ")
+            value, _, remainder = remainder.partition(" ")
         fields[name.strip()] = value
     return fields
 
 
 class Answer:
-    """What a caller got."""
+    """HTTP answer to a caller or an operator."""
 
     def __init__(self, status: int, headers, body: bytes, is_whole: bool) -> None:
         self.status, self.headers, self.body = status, headers, body
@@ -194,21 +196,22 @@
 
 @define(eq=False)
 class FleetOfProcesses:
-    """Controllers and routers on 127.0.0.x addresses with the same ports."""
+    """Controllers and routers on loopback addresses, all with the same ports."""
 
     folder: Path
     platform: PlatformStandIn
     controllers: list[FleetProcess] = field(factory=list)
     routers: list[FleetProcess] = field(factory=list)
     base_port: int = 0
-    #: Whether a proxy stands before each controller's links.
+    #: Whether links to each controller pass through a proxy.
     has_link_proxies: bool = False
 
     def start(self, controllers: int = 3, routers: int = 2) -> None:
-        # Addresses and ports by process, so that runs beside each other do not meet.
-        net = (os.getpid() * 7 + id(self)) % 200 + 20
+        # Addresses and ports depend on the process id, so that concurrent test runs do
+        # not share any.
+        subnet = (os.getpid() * 7 + id(self)) % 200 + 20
         self.base_port = 20000 + (os.getpid() * 31) % 20000
-        ips = [f"127.{net}.0.{number + 1}" for number in range(250)]
+        ips = [f"127.{subnet}.0.{number + 1}" for number in range(250)]
         for number in range(controllers):
             self.controllers.append(
                 self._process(f"core-{number + 1}", "controller", ips[number], ips)
@@ -219,40 +222,43 @@
         for process in (*self.controllers, *self.routers):
             process.start()
 
-    def _process(self, name, role, ip, ips, founds=True) -> FleetProcess:
-        base = self.base_port
-        seeds = ",".join(f"{seed}:{base}" for seed in ips[:3])
+    def _process(self, name, role, ip, ips, founds_group=True) -> FleetProcess:
+        base_port = self.base_port
+        seeds = ",".join(f"{seed}:{base_port}" for seed in ips[:3])
         data = self.folder / name / "data"
         settings = self.folder / f"{name}.ini"
         is_router = role == "router"
         settings.write_text(
-            _SETTINGS.format(
+            _SETTINGS_TEMPLATE.format(
                 name=name,
                 ip=ip,
-                listen=base + (1 if is_router else 0),
-                ready=f"{ip}:{base + 2}" if is_router else "",
-                directory=f"{ip}:{base + 3}" if is_router else "",
-                internal=base + 10,
-                last=base + 15,
+                listen=base_port + (1 if is_router else 0),
+                ready=f"{ip}:{base_port + 2}" if is_router else "",
+                directory=f"{ip}:{base_port + 3}" if is_router else "",
+                internal=base_port + 10,
+                last=base_port + 15,
                 seeds=seeds,
                 links_listen=self._links_listen(role, ip),
-                founds="true" if founds else "false",
+                founds="true" if founds_group else "false",
                 data="" if is_router else data,
                 target_list=self.platform.list_address,
             )
         )
-        port = base + (1 if is_router else 0)
+        port = base_port + (1 if is_router else 0)
         log = self.folder / f"{name}.log"
         return FleetProcess(name, role, ip, port, settings, log, data)
 
     def _links_listen(self, role: str, ip: str) -> str:
-        """Return the setting of a controller whose links come through a proxy."""
+        """Return the ``links-listen`` setting, empty if no proxy is in use."""
         if role == "router" or not self.has_link_proxies:
             return ""
         return f"links-listen = {self.links_address(ip, is_own=True)}\n"
 
     def links_address(self, ip: str, is_own: bool = False) -> Address:
-        """Return where links to a controller are opened, or where it accepts them."""
+        """Return the address at which peers open links to a controller.
+
+        With ``is_own``, return the address at which the controller accepts them.
+        """
         return Address(ip, self.base_port + (14 if is_own else 10))
 
     def close(self) -> None:
@@ -261,7 +267,7 @@
                 process.kill()
 
     def operator(self, method: str, path: str, body: bytes = b"") -> Answer | None:
-        """Make an operator's call at any controller, following redirects."""
+        """Make an operator's call to any controller, and follow a redirect."""
         for controller in self.controllers:
             answer = self._call(controller, method, path, body)
             if answer is not None and answer.status == 307:
@@ -277,14 +283,17 @@
         return _request(controller.ip, controller.port, method, path, {}, body, 2.0)
 
     def put(self, values: dict | bytes) -> Answer:
-        """Put a configuration until there is a clear answer."""
+        """Put a configuration, and retry until a controller answers."""
         body = values if isinstance(values, bytes) else json.dumps(values).encode()
-        return until(lambda: self.operator("PUT", "/config", body), "answer to PUT")
+        return until(
+            lambda: self.operator("PUT", "/config", body), "an answer to PUT /config"
+        )
 
     def name_weights(self, version: int) -> Answer:
         body = json.dumps({"model": MODEL, "version": version}).encode()
         return until(
-            lambda: self.operator("POST", "/version-put", body), "answer to weights"
+            lambda: self.operator("POST", "/version-put", body),
+            "an answer to POST /version-put",
         )
 
     def ask(
@@ -295,24 +304,24 @@
         method: str = "POST",
         body: bytes = b"{}",
         key: str = KEY,
-        **more: str,
+        **options: str,
     ) -> Answer | None:
-        """Send a caller's request."""
+        """Send a caller's request; return its answer, None if the connection failed."""
         headers = {
             "Host": "app.example",
             "Authorization": f"Bearer {key}",
             "Berylnotch-Request-Id": request_id,
-            "Berylnotch-Deadline-Ms": more.pop("deadline_ms", "4000"),
+            "Berylnotch-Deadline-Ms": options.pop("deadline_ms", "4000"),
         }
         if path.startswith("/chat/"):
             headers["Berylnotch-Model"] = MODEL
             headers["Berylnotch-Token-Count"] = "3000,20"
             headers["Berylnotch-Prefix-Hash"] = "aa01:2000,bb02:1000"
-        headers.update({name.replace("_", "-"): v for name, v in more.items()})
+        headers.update({name.replace("_", "-"): v for name, v in options.items()})
         return _request(router.ip, router.port, method, path, headers, body, 8.0)
 
     def ask_raw(self, router: FleetProcess, path: str, request_id: str) -> bytes:
-        """Send a model request and return all bytes up to the end of the connection."""
+        """Send a model request, and return all bytes until the connection is closed."""
         head = (
             f"POST {path} HTTP/1.1\r\nHost: app.example\r\n"
             f"Authorization: Bearer {KEY}\r\nBerylnotch-Request-Id: {request_id}\r\n"
@@ -323,21 +332,21 @@
         data = b""
         with socket.create_connection((router.ip, router.port), timeout=8) as sock:
             sock.sendall(head.encode())
-            while piece := sock.recv(65536):
-                data += piece
+            while chunk := sock.recv(65536):
+                data += chunk
         return data
 
     def make_ready(self) -> None:
-        """Put a first configuration, and wait until all routers serve by it."""
+        """Put a first configuration, and wait until all routers serve with it."""
         assert self.put(configuration(3)).status == 200
         self.wait_ready()
 
     def wait_ready(self) -> None:
         """Wait until each router is ready and knows the targets."""
         for router in self.routers:
-            until(lambda r=router: self._is_ready(r), f"{router.name} ready")
+            until(lambda r=router: self._is_ready(r), f"{router.name} to become ready")
         for router in self.routers:
-            until(lambda r=router: self._serves(r), f"{router.name} serves")
+            until(lambda r=router: self._serves(r), f"{router.name} to serve requests")
 
     def _is_ready(self, router: FleetProcess) -> bool:
         answer = _request(router.ip, self.base_port + 2, "GET", "/readyz", {}, b"", 1.0)
@@ -355,7 +364,7 @@
         return answer.body.decode()
 
     def leader(self) -> FleetProcess | None:
-        """Return the controller that leads, by the newest lines of the logs."""
+        """Return the leading controller by the newest log lines, None without one."""
         for controller in self.controllers:
             if controller.process.poll() is not None:
                 continue
@@ -387,13 +396,13 @@
 
 
 def in_threads(calls) -> list:
-    """Run calls at the same time and return their results."""
+    """Run calls concurrently in threads, and return their results in order."""
     results = [None] * len(calls)
 
-    def run(position):
+    def run_call(position):
         results[position] = calls[position]()
 
-    threads = [threading.Thread(target=run, args=(n,)) for n in range(len(calls))]
+    threads = [threading.Thread(target=run_call, args=(n,)) for n in range(len(calls))]
     for thread in threads:
         thread.start()
     for thread in threads:
--- a/tests/test_daemon/test_fleet_logs.py
+++ b/tests/test_daemon/test_fleet_logs.py
@@ -1,4 +1,4 @@
-"""Logs and metrics of a fleet of real processes."""
+"""Tests of the logs, the metrics and the ``why`` tool with a fleet of processes."""
 
 import signal
 
@@ -17,7 +17,7 @@
     return platform_fleet
 
 
-def test_log_tells_why_a_request_failed(fleet, platform):
+def test_log_contains_the_cause_of_a_failed_request(fleet, platform):
     fleet.make_ready()
     platform.targets["desk-1"].mood = "reset"
     platform.targets["desk-2"].mood = "reset"
@@ -26,17 +26,17 @@
     def lines():
         return [f for f in fleet.routers[0].lines() if f.get("id") == "why-me"]
 
-    found = until(
+    logged = until(
         lambda: [f for f in lines() if f["event"] == "finished"] and lines(), "lines"
     )
-    events = [line["event"] for line in found]
+    events = [line["event"] for line in logged]
     assert events == ["sent", "attempt_failed", "finished"]
-    assert found[1]["failure"] == "broken"
-    assert found[2]["outcome"] == "failed" and found[2]["status"] == "502"
-    assert found[0]["target"] in found[2]["reason"]
+    assert logged[1]["failure"] == "broken"
+    assert logged[2]["outcome"] == "failed" and logged[2]["status"] == "502"
+    assert logged[0]["target"] in logged[2]["reason"]
 
 
-def test_metrics_tell_what_happened(fleet, platform):
+def test_metrics_count_requests_and_show_leadership(fleet, platform):
     fleet.make_ready()
     router = fleet.routers[0]
     assert fleet.ask(router, "/chat/x", "m-1").status == 200
@@ -57,55 +57,57 @@
     for controller in fleet.controllers:
         if controller is not leader:
             assert "berylnotch_lease_age_seconds" not in fleet.metrics(controller)
-    heard_s = gauge(fleet.metrics(router), "berylnotch_leader_heard_seconds")
-    assert 0 <= heard_s < LinkSettings().silence_s
+    leader_age_s = gauge(fleet.metrics(router), "berylnotch_leader_heard_seconds")
+    assert 0 <= leader_age_s < LinkSettings().silence_s
 
 
-def test_thawed_leader_shows_no_lease(fleet):
+def test_resumed_leader_exports_no_lease_age(fleet):
     fleet.make_ready()
     leader = until(fleet.leader, "a leader")
-    others = [c for c in fleet.controllers if c is not leader]
+    other_controllers = [c for c in fleet.controllers if c is not leader]
     leader.signal(signal.SIGSTOP)
     until(
-        lambda: any("berylnotch_leader 1" in fleet.metrics(c) for c in others),
+        lambda: any(
+            "berylnotch_leader 1" in fleet.metrics(c) for c in other_controllers
+        ),
         "another leader",
     )
     leader.signal(signal.SIGCONT)
     until(
         lambda: "berylnotch_lease_age_seconds" not in fleet.metrics(leader),
-        "the thawed leader shows no lease",
+        "the resumed leader to export no lease age",
     )
 
 
-def _why(fleet, request_id, capsys):
-    """Return what the tool tells of a request, once it has ended."""
+def _explain(fleet, request_id, capsys):
+    """Return the ``why`` tool's output for a request, once the request has ended."""
     logs = [str(p.log) for p in (*fleet.controllers, *fleet.routers)]
 
-    def told():
+    def explanation():
         code = why_request.main([request_id, *logs])
         text = capsys.readouterr().out
         return text if code == 0 and "not finished" not in text else None
 
-    return until(told, "an explanation")
+    return until(explanation, "an explanation")
 
 
-def test_the_logs_explain_a_refusal(fleet, platform, capsys):
+def test_why_tool_explains_a_refusal(fleet, platform, capsys):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
         platform.targets[name].mood = "refuse"
     fleet.ask(fleet.routers[0], "/book/x", "why-1")
-    text = _why(fleet, "why-1", capsys)
+    text = _explain(fleet, "why-1", capsys)
     assert text.startswith("request why-1: refused with status 503")
     assert "run by 0" in text and "refused with 503" in text
     assert "event=target_refused id=why-1 target=desk-" in text
 
 
-def test_the_logs_explain_an_unknown_outcome(fleet, platform, capsys):
+def test_why_tool_explains_an_unknown_outcome(fleet, platform, capsys):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
         platform.targets[name].mood = "reset"
     fleet.ask(fleet.routers[0], "/book/x", "why-2")
-    text = _why(fleet, "why-2", capsys)
+    text = _explain(fleet, "why-2", capsys)
     assert text.startswith(
         "request why-2: failed with status 502, sent 1 times, run by 1"
     )
@@ -113,20 +115,20 @@
     assert "failure=broken" in text
 
 
-def test_the_logs_explain_a_broken_stream(fleet, platform, capsys):
+def test_why_tool_explains_a_broken_stream(fleet, platform, capsys):
     fleet.make_ready()
     for name in ("llm-1", "llm-2"):
         platform.targets[name].events = 8
         platform.targets[name].mood = "cut"
     answer = fleet.ask(fleet.routers[0], "/chat/x", "why-3")
     assert not answer.is_whole
-    text = _why(fleet, "why-3", capsys)
+    text = _explain(fleet, "why-3", capsys)
     assert text.startswith("request why-3: broken_off")
     assert "event=sent_again id=why-3" in text and "last_event=2" in text
     assert "event=target_listed" in text or "event=configuration" in text
 
 
-def test_the_tool_tells_of_unknown_requests_and_files(fleet, capsys):
+def test_why_tool_reports_unknown_requests_and_files(fleet, capsys):
     log = str(fleet.routers[0].log)
     assert why_request.main(["nobody", log]) == why_request.EXIT_NOT_FOUND
     assert why_request.main(["x", "/nowhere.log"]) == why_request.EXIT_BAD_INPUT
--- a/tests/test_daemon/test_fleet_moves.py
+++ b/tests/test_daemon/test_fleet_moves.py
@@ -1,4 +1,4 @@
-"""Streams of real processes while engines are emptied to load weights."""
+"""Tests of streams during a rollout of weights, with a fleet of processes."""
 
 import threading
 import time
@@ -8,7 +8,7 @@
 from tests.fleet.processes import FleetOfProcesses, configuration, until
 
 EVENTS = 60
-PAUSE_S = 0.04
+EVENT_INTERVAL_S = 0.04
 STREAMS = 6
 
 
@@ -17,35 +17,38 @@
     processes = FleetOfProcesses(tmp_path, platform)
     for number in range(3):
         engine = platform.add(f"llm-{number}", "llm", version=1)
-        engine.events, engine.event_pause_s = EVENTS, PAUSE_S
+        engine.events, engine.event_pause_s = EVENTS, EVENT_INTERVAL_S
     platform.add("desk-1", "desk")
     yield processes
     processes.close()
 
 
-def serve(fleet, **changes):
+def start_serving(fleet, **changes):
     fleet.start()
     assert fleet.put(configuration(3, moves=True, **changes)).status == 200
     fleet.wait_ready()
 
 
-def stream_while_weights_change(fleet, platform):
-    """Return the answers of streams that are under way as engines load."""
+def stream_during_rollout(fleet, platform):
+    """Return the answers of streams in progress during a rollout, and the engines."""
     answers = {}
 
     def ask(number):
         router = fleet.routers[number % len(fleet.routers)]
         request_id = f"s-{number}"
-        # Different prompts, so that they spread over the engines.
-        parts = {"Berylnotch_Prefix_Hash": f"aa{number:02}:2000,bb02:1000"}
-        answers[request_id] = fleet.ask(router, "/chat/x", request_id, **parts)
+        # Different prompts, so that the streams spread over the engines.
+        headers = {"Berylnotch_Prefix_Hash": f"aa{number:02}:2000,bb02:1000"}
+        answers[request_id] = fleet.ask(router, "/chat/x", request_id, **headers)
 
     threads = [threading.Thread(target=ask, args=(n,)) for n in range(STREAMS)]
     for thread in threads:
         thread.start()
     engines = [t for t in platform.targets.values() if t.service == "llm"]
-    until(lambda: sum(len(e.streams) for e in engines) == STREAMS, "streams under way")
-    time.sleep(4 * PAUSE_S)
+    until(
+        lambda: sum(len(e.streams) for e in engines) == STREAMS,
+        "all streams in progress",
+    )
+    time.sleep(4 * EVENT_INTERVAL_S)
     assert fleet.name_weights(2).status == 200
     for thread in threads:
         thread.join()
@@ -53,7 +56,7 @@
     return answers, engines
 
 
-def assert_whole(answers):
+def assert_complete(answers):
     expected = b"".join(
         b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, EVENTS + 1)
     )
@@ -63,30 +66,30 @@
 
 
 @pytest.mark.parametrize("resumable", [True, False], ids=["resumable", "runs-once"])
-def test_runs_move_and_their_streams_stay_whole(fleet, platform, resumable):
-    serve(fleet, resumable=resumable)
-    answers, engines = stream_while_weights_change(fleet, platform)
-    assert_whole(answers)
-    runs = [request_id for engine in engines for request_id in engine.runs]
-    assert sorted(runs) == sorted(answers)
+def test_runs_move_and_their_streams_are_complete(fleet, platform, resumable):
+    start_serving(fleet, resumable=resumable)
+    answers, engines = stream_during_rollout(fleet, platform)
+    assert_complete(answers)
+    run_ids = [request_id for engine in engines for request_id in engine.runs]
+    assert sorted(run_ids) == sorted(answers)
     assert sum(len(engine.resumed) for engine in engines) > 0
 
 
 @pytest.mark.parametrize("mood", ["no_room", "gone"])
-def test_runs_that_cannot_move_end_where_they_are(fleet, platform, mood):
+def test_runs_that_cannot_move_finish_on_their_engine(fleet, platform, mood):
     for target in platform.targets.values():
         target.move_mood = mood
-    serve(fleet, resumable=False)
-    answers, engines = stream_while_weights_change(fleet, platform)
-    assert_whole(answers)
+    start_serving(fleet, resumable=False)
+    answers, engines = stream_during_rollout(fleet, platform)
+    assert_complete(answers)
     assert not any(engine.resumed for engine in engines)
 
 
-def test_a_run_whose_move_was_not_answered_is_never_taken_for_whole(fleet, platform):
+def test_unanswered_move_neither_truncates_nor_repeats_a_run(fleet, platform):
     for target in platform.targets.values():
         target.move_mood = "lost"
-    serve(fleet, resumable=False)
-    answers, engines = stream_while_weights_change(fleet, platform)
-    assert_whole(answers)
-    runs = [request_id for engine in engines for request_id in engine.runs]
-    assert sorted(runs) == sorted(answers)
+    start_serving(fleet, resumable=False)
+    answers, engines = stream_during_rollout(fleet, platform)
+    assert_complete(answers)
+    run_ids = [request_id for engine in engines for request_id in engine.runs]
+    assert sorted(run_ids) == sorted(answers)
--- a/tests/test_daemon/test_fleet_seekers.py
+++ b/tests/test_daemon/test_fleet_seekers.py
@@ -1,10 +1,10 @@
-"""Routers that ask while there is no leader."""
+"""Tests of the routers that wait at a controller without a known leader."""
 
-from berylnotch.daemon.fleet.seekers import WAIT_S, Seekers
+from berylnotch.daemon.fleet.seekers import MAX_WAIT_S, Seekers
 from tests.test_daemon.test_fleet_registry import Link, report
 
 
-def test_all_are_answered_as_soon_as_a_leader_is_known():
+def test_all_routers_are_answered_once_a_leader_is_known():
     seekers, links = Seekers(), [Link() for _ in range(300)]
     for number, link in enumerate(links):
         seekers.add(link, report(f"r{number}"), 10.0)
@@ -15,15 +15,15 @@
     assert seekers.take(10.3, True) == []
 
 
-def test_a_router_does_not_wait_for_long_where_no_leader_comes():
+def test_later_reports_do_not_extend_the_wait_without_a_leader():
     seekers, link = Seekers(), Link()
     seekers.add(link, report(version=1), 10.0)
-    seekers.add(link, report(version=2), 10.0 + WAIT_S / 2)
-    ((answered, newest),) = seekers.take(10.0 + WAIT_S, False)
-    assert answered is link and newest.configuration_version == 2
+    seekers.add(link, report(version=2), 10.0 + MAX_WAIT_S / 2)
+    ((answered, newest_report),) = seekers.take(10.0 + MAX_WAIT_S, False)
+    assert answered is link and newest_report.configuration_version == 2
 
 
-def test_a_link_that_ended_is_not_answered():
+def test_closed_link_is_not_answered():
     seekers, link = Seekers(), Link()
     seekers.add(link, report(), 10.0)
     seekers.lost(link)
--- a/tests/test_daemon/test_fleet_silence.py
+++ b/tests/test_daemon/test_fleet_silence.py
@@ -1,4 +1,8 @@
-"""Machines that are only silent for a while: running work goes on, once."""
+"""Tests of requests while the VM of a controller or router is paused.
+
+A VM that does not answer for a while may not have failed. Its requests must neither be
+lost nor run a second time.
+"""
 
 import signal
 import threading
@@ -23,17 +27,17 @@
     return thread, answers
 
 
-@pytest.mark.parametrize("silent_s", [1.0, 3.0])
-def test_streams_go_on_while_all_controllers_are_silent(fleet, platform, silent_s):
+@pytest.mark.parametrize("pause_s", [1.0, 3.0])
+def test_streams_continue_while_all_controllers_are_paused(fleet, platform, pause_s):
     fleet.make_ready()
     engines = [platform.targets[name] for name in ("llm-1", "llm-2")]
     for engine in engines:
-        engine.events, engine.event_pause_s = int(silent_s / 0.2) + 4, 0.2
+        engine.events, engine.event_pause_s = int(pause_s / 0.2) + 4, 0.2
     thread, answers = _stream_in_background(fleet, fleet.routers[0], "running")
-    until(lambda: any("running" in e.runs for e in engines), "the stream runs")
+    until(lambda: any("running" in e.runs for e in engines), "the stream to start")
     for controller in fleet.controllers:
         controller.signal(signal.SIGSTOP)
-    time.sleep(silent_s)
+    time.sleep(pause_s)
     for controller in fleet.controllers:
         controller.signal(signal.SIGCONT)
     thread.join()
@@ -42,7 +46,7 @@
     assert sum(engine.runs.count("running") for engine in engines) == 1
 
 
-def test_running_work_outlasts_a_router_that_is_silent_to_its_leader(fleet, platform):
+def test_request_of_a_paused_router_runs_at_most_once(fleet, platform):
     fleet.make_ready()
     desks = [platform.targets[name] for name in ("desk-1", "desk-2")]
     router = fleet.routers[0]
@@ -50,7 +54,7 @@
     thread = threading.Thread(target=lambda: fleet.ask(router, "/book/x", "frozen"))
     thread.start()
     time.sleep(2.0)
-    # Nobody else takes its work over.
+    # No other process takes over the request.
     assert sum(desk.runs.count("frozen") for desk in desks) == 0
     router.signal(signal.SIGCONT)
     thread.join()
@@ -59,6 +63,6 @@
         lambda: (lambda a: a if a and a.status == 200 else None)(
             fleet.ask(router, "/book/x", f"after-{time.monotonic()}")
         ),
-        "the router serves again",
+        "the router to serve again",
     )
     assert answer.is_whole
--- a/tests/test_daemon/test_fleet_survey.py
+++ b/tests/test_daemon/test_fleet_survey.py
@@ -1,11 +1,11 @@
-"""How a new leader learns what many engines run."""
+"""Tests of the survey in which a new leader queries the weights of many engines."""
 
 import json
 
 import pytest
 
-from berylnotch.daemon.fleet import survey as module
-from berylnotch.daemon.fleet.survey import AT_ONCE, EngineSurvey
+from berylnotch.daemon.fleet import survey as survey_module
+from berylnotch.daemon.fleet.survey import MAX_CONCURRENT_CALLS, EngineSurvey
 from berylnotch.membership.listing import ListedTarget
 from berylnotch.net.messages import Headers, HttpResponse
 from tests.test_daemon.test_fleet_registry import Log
@@ -25,41 +25,41 @@
 
 @pytest.fixture
 def calls(monkeypatch):
-    """Calls under way, each as its function to answer it."""
-    under_way = []
+    """Calls in flight, each as the callback that takes its response."""
+    in_flight = []
 
-    def fetch(loop, address, request, timeout_s, done):
-        under_way.append(done)
+    def fetch(loop, address, request, timeout_s, on_done):
+        in_flight.append(on_done)
 
-    monkeypatch.setattr(module, "fetch", fetch)
-    return under_way
+    monkeypatch.setattr(survey_module, "fetch", fetch)
+    return in_flight
 
 
-def test_few_engines_are_asked_at_the_same_time_and_all_in_the_end(calls):
-    heard = []
-    survey = EngineSurvey(None, lambda engine, _: heard.append(engine.target_id), Log())
-    survey.ask(_engines(300))
-    most = 0
+def test_queries_are_bounded_and_reach_all_engines(calls):
+    ids = []
+    survey = EngineSurvey(None, lambda engine, _: ids.append(engine.target_id), Log())
+    survey.query(_engines(300))
+    max_in_flight = 0
     while calls:
-        most = max(most, len(calls))
+        max_in_flight = max(max_in_flight, len(calls))
         calls.pop(0)(_report(), "")
-    assert most == AT_ONCE
-    assert sorted(heard) == sorted(e.target_id for e in _engines(300))
+    assert max_in_flight == MAX_CONCURRENT_CALLS
+    assert sorted(ids) == sorted(e.target_id for e in _engines(300))
 
 
-def test_an_engine_without_a_report_does_not_hold_the_others_up(calls):
-    heard = []
-    survey = EngineSurvey(None, lambda engine, _: heard.append(engine.target_id), Log())
-    survey.ask(_engines(3))
+def test_failed_report_does_not_block_other_engines(calls):
+    ids = []
+    survey = EngineSurvey(None, lambda engine, _: ids.append(engine.target_id), Log())
+    survey.query(_engines(3))
     calls.pop(0)(None, "no answer in 0.6 s")
     calls.pop(0)(_report(status=503), "")
     calls.pop(0)(_report(), "")
-    assert heard == ["i-2"]
+    assert ids == ["i-2"]
 
 
-def test_a_closed_survey_asks_no_further_engine(calls):
+def test_closed_survey_starts_no_calls(calls):
     survey = EngineSurvey(None, lambda engine, report: None, Log())
-    survey.ask(_engines(AT_ONCE + 5))
+    survey.query(_engines(MAX_CONCURRENT_CALLS + 5))
     survey.close()
     while calls:
         calls.pop(0)(_report(), "")
--- a/tests/test_daemon/test_fleet_updates.py
+++ b/tests/test_daemon/test_fleet_updates.py
@@ -1,4 +1,4 @@
-"""What a router takes over from the leader's messages."""
+"""Tests of how a router applies the leader's messages."""
 
 from collections import deque
 from types import SimpleNamespace
@@ -6,10 +6,10 @@
 import pytest
 
 from berylnotch.daemon.fleet.updates import (
-    ASK_PER_ROUTER_S,
-    share_limits,
-    take_loads,
-    take_prompts,
+    GRANT_REQUEST_PER_ROUTER_S,
+    apply_limits,
+    apply_loads,
+    apply_prompt_notes,
 )
 from berylnotch.entry.settings import EntrySettings
 from berylnotch.entry.targets import TargetTable
@@ -25,12 +25,12 @@
 
 @pytest.fixture
 def context():
-    table = TargetTable(Loop("unused"), EntrySettings())
-    table.update(
+    targets = TargetTable(Loop("unused"), EntrySettings())
+    targets.update(
         TargetEntry(ListedTarget(name, "llm", "10.0.0.1:80", "d")) for name in "abc"
     )
     return SimpleNamespace(
-        targets=table,
+        targets=targets,
         loaded_targets=set(),
         own_notes=deque(),
         prompts=PromptMemory(),
@@ -38,29 +38,29 @@
     )
 
 
-def _others(context):
+def _others_in_flight(context):
     return {t.target_id: t.others_in_flight for t in context.targets.all()}
 
 
-def test_own_requests_are_taken_out_of_the_sums(context):
+def test_own_requests_are_subtracted_from_the_sums(context):
     update = LoadsUpdate((TargetLoad("a", 5, 900), TargetLoad("b", 2)))
-    take_loads(context, update, [TargetLoad("a", 2, 300), TargetLoad("b", 3)])
-    assert _others(context) == {"a": 3, "b": 0, "c": 0}
+    apply_loads(context, update, [TargetLoad("a", 2, 300), TargetLoad("b", 3)])
+    assert _others_in_flight(context) == {"a": 3, "b": 0, "c": 0}
     assert context.targets.get("a").others_unread == 600
 
 
-def test_a_target_that_is_not_named_any_more_has_no_load(context):
-    take_loads(context, LoadsUpdate((TargetLoad("a", 5),), ("b",)), [])
+def test_target_missing_from_the_update_has_no_load(context):
+    apply_loads(context, LoadsUpdate((TargetLoad("a", 5),), ("b",)), [])
     assert context.targets.get("b").is_suspect
-    take_loads(context, LoadsUpdate((TargetLoad("c", 1),)), [])
-    assert _others(context) == {"a": 0, "b": 0, "c": 1}
+    apply_loads(context, LoadsUpdate((TargetLoad("c", 1),)), [])
+    assert _others_in_flight(context) == {"a": 0, "b": 0, "c": 1}
     assert not context.targets.get("b").is_suspect
 
 
-def test_a_target_that_is_unknown_is_left_out(context):
-    take_loads(context, LoadsUpdate((TargetLoad("x", 5),), ("y",)), [])
-    take_loads(context, LoadsUpdate(()), [])
-    assert _others(context) == {"a": 0, "b": 0, "c": 0}
+def test_unknown_targets_are_ignored(context):
+    apply_loads(context, LoadsUpdate((TargetLoad("x", 5),), ("y",)), [])
+    apply_loads(context, LoadsUpdate(()), [])
+    assert _others_in_flight(context) == {"a": 0, "b": 0, "c": 0}
 
 
 def _note(holder, **changes):
@@ -68,37 +68,37 @@
     return PromptNote(7, 13_300, holder, **values)
 
 
-def test_a_note_counts_at_once_until_the_next_sums(context):
-    own = _note("b")
-    context.own_notes.append(echo(own))
-    notes = (_note("a"), own, _note("c", is_ready=True, unread=0), _note("x"))
-    take_prompts(context, notes)
-    assert _others(context) == {"a": 1, "b": 0, "c": 0}
+def test_prompt_note_counts_until_the_next_load_sums(context):
+    own_note = _note("b")
+    context.own_notes.append(echo(own_note))
+    notes = (_note("a"), own_note, _note("c", is_ready=True, unread=0), _note("x"))
+    apply_prompt_notes(context, notes)
+    assert _others_in_flight(context) == {"a": 1, "b": 0, "c": 0}
     assert context.targets.get("a").others_unread == 17_000
-    take_loads(context, LoadsUpdate((TargetLoad("b", 1),)), [])
-    assert _others(context) == {"a": 0, "b": 1, "c": 0}
+    apply_loads(context, LoadsUpdate((TargetLoad("b", 1),)), [])
+    assert _others_in_flight(context) == {"a": 0, "b": 1, "c": 0}
     assert context.targets.get("a").others_unread == 0
 
 
-class Quota:
-    """A router's grants that keep what they are told."""
+class QuotaRecorder:
+    """Quota of a router that records the amounts and the interval set on it."""
 
     def __init__(self):
-        self.kept, self.interval_s = {}, None
+        self.held, self.interval_s = {}, None
 
     def keep(self, organisation, tokens):
-        self.kept[organisation] = tokens
+        self.held[organisation] = tokens
 
     def pace(self, interval_s):
         self.interval_s = interval_s
 
 
-def _limited(router_count, is_roster_known):
-    """Return the grants of a router that took over a limit."""
+def _limited_quota(router_count, is_roster_known):
+    """Return the quota of a router after it applied a configured limit."""
     organisation = Organisation("alpha", ("k",), 0, 55_000, 112_000, True, 200)
     configuration = SimpleNamespace(organisations=(organisation,))
-    quota = Quota()
-    share_limits(
+    quota = QuotaRecorder()
+    apply_limits(
         SimpleNamespace(
             routes=SimpleNamespace(configuration=configuration),
             fleet=SimpleNamespace(bounds=FleetBounds()),
@@ -110,19 +110,23 @@
     return quota
 
 
-def test_each_router_holds_its_part_of_a_limit():
-    few, many = _limited(6, True).kept["alpha"], _limited(300, True).kept["alpha"]
-    assert few // 50 - 1 <= many <= few // 50 + 1
+def test_held_tokens_are_divided_among_routers():
+    small_fleet, large_fleet = (
+        _limited_quota(6, True).held["alpha"],
+        _limited_quota(300, True).held["alpha"],
+    )
+    assert small_fleet // 50 - 1 <= large_fleet <= small_fleet // 50 + 1
 
 
-def test_before_the_roster_is_known_routers_ask_as_those_of_a_large_fleet():
-    # After a loss of all power hundreds of routers know of themselves only.
-    unknown = _limited(1, is_roster_known=False)
-    assert 250 / unknown.interval_s <= 1 / ASK_PER_ROUTER_S
-    # The owner may die before it told the roster: what is held serves until the next.
-    assert unknown.kept["alpha"] == _limited(1, is_roster_known=True).kept["alpha"]
+def test_grant_requests_assume_a_large_fleet_before_the_first_roster():
+    # After a power loss, hundreds of routers each know only of themselves.
+    quota = _limited_quota(1, is_roster_known=False)
+    assert 250 / quota.interval_s <= 1 / GRANT_REQUEST_PER_ROUTER_S
+    # The quota owner may fail before it sends the roster. The tokens held until then
+    # have to last until the next owner answers.
+    assert quota.held["alpha"] == _limited_quota(1, is_roster_known=True).held["alpha"]
 
 
-def test_many_routers_ask_less_often_for_tokens_in_advance():
-    assert _limited(6, True).interval_s == FLEET_QUOTA.ask_interval_s
-    assert 300 / _limited(300, True).interval_s <= 1 / ASK_PER_ROUTER_S
+def test_grant_request_interval_grows_with_the_fleet():
+    assert _limited_quota(6, True).interval_s == FLEET_QUOTA.ask_interval_s
+    assert 300 / _limited_quota(300, True).interval_s <= 1 / GRANT_REQUEST_PER_ROUTER_S
--- a/tests/test_daemon/test_fleet_watch.py
+++ b/tests/test_daemon/test_fleet_watch.py
@@ -1,14 +1,14 @@
-"""How the leader reads the platform's list."""
+"""Tests of how the leader reads the platform's target list."""
 
 import json
 
 import pytest
 
-from berylnotch.daemon.fleet import watch as module
+from berylnotch.daemon.fleet import watch as watch_module
 from berylnotch.daemon.fleet.watch import (
-    PAGE_TRIES,
-    RATE_PART,
-    SLOWER_FACTOR,
+    MAX_PAGE_ATTEMPTS,
+    PAUSE_INCREASE_FACTOR,
+    RATE_SHARE,
     TargetWatch,
 )
 from berylnotch.net.messages import Headers, HttpResponse
@@ -17,13 +17,13 @@
 
 PERIOD_S = 1.0
 
-#: Calls a second that the list answers, and the pause that keeps to a part of them.
+#: Rate limit of the list in calls a second, and the pause between pages that follows.
 RATE = 40.0
-PAGE_S = 1 / (RATE_PART * RATE)
+PAGE_PAUSE_S = 1 / (RATE_SHARE * RATE)
 
 
-class Timers:
-    """A loop that keeps calls with their delays."""
+class TimerRecorder:
+    """Event loop that records calls with their delays in seconds."""
 
     def __init__(self):
         self.calls = []
@@ -32,7 +32,7 @@
         self.calls.append((delay_s, call))
 
 
-def _page(number, last):
+def _page_response(number, last):
     entry = {
         "id": f"i-{number}",
         "service": "llm",
@@ -40,25 +40,25 @@
         "zone": "d",
         "state": "ready",
     }
-    following = None if number == last else f"p-{number + 1}"
-    body = {"instances": [entry], "nextToken": following}
+    next_token = None if number == last else f"p-{number + 1}"
+    body = {"instances": [entry], "nextToken": next_token}
     return HttpResponse(200, Headers(()), json.dumps(body).encode())
 
 
 @pytest.fixture
 def reading(monkeypatch):
-    """A watch, the calls that it makes, its timers, and the lists that it gives."""
-    asked, timers, lists, _ = _watch(monkeypatch)
-    return asked, timers, lists
+    """Requests of a started watch, its timers, and the lists that it delivers."""
+    requests, timers, lists, _ = _watch(monkeypatch)
+    return requests, timers, lists
 
 
 def _watch(monkeypatch):
-    asked, pages, lists, timers = [], [], [], Timers()
+    requests, pages, lists, timers = [], [], [], TimerRecorder()
 
-    def fetch(loop, address, request, timeout_s, done):
-        asked.append((request.target, done))
+    def fetch(loop, address, request, timeout_s, on_done):
+        requests.append((request.target, on_done))
 
-    monkeypatch.setattr(module, "fetch", fetch)
+    monkeypatch.setattr(watch_module, "fetch", fetch)
     watch = TargetWatch(
         timers,
         Address("10.9.9.9", 1),
@@ -69,95 +69,95 @@
         Log(),
     )
     watch.start()
-    return asked, timers, lists, pages
+    return requests, timers, lists, pages
 
 
-def test_pages_are_read_one_after_the_other_within_the_rate(reading):
-    asked, timers, lists = reading
+def test_pages_are_read_in_sequence_within_the_rate_limit(reading):
+    requests, timers, lists = reading
     for number in (1, 2, 3):
-        asked[-1][1](_page(number, 3), "")
+        requests[-1][1](_page_response(number, 3), "")
         delay_s, call = timers.calls[-1]
-        assert delay_s == (PERIOD_S if number == 3 else PAGE_S)
+        assert delay_s == (PERIOD_S if number == 3 else PAGE_PAUSE_S)
         call()
     assert [t.target_id for t in lists[0]] == ["i-1", "i-2", "i-3"]
 
 
-def test_a_limited_call_is_made_again_and_keeps_what_was_read(reading):
-    asked, timers, lists = reading
-    asked[-1][1](_page(1, 2), "")
+def test_rate_limited_call_is_retried_without_losing_pages(reading):
+    requests, timers, lists = reading
+    requests[-1][1](_page_response(1, 2), "")
     timers.calls[-1][1]()
-    first = asked[-1][0]
-    asked[-1][1](HttpResponse(429, Headers(()), b""), "")
+    limited_target = requests[-1][0]
+    requests[-1][1](HttpResponse(429, Headers(()), b""), "")
     delay_s, call = timers.calls[-1]
-    assert delay_s == SLOWER_FACTOR * PAGE_S
+    assert delay_s == PAUSE_INCREASE_FACTOR * PAGE_PAUSE_S
     call()
-    assert asked[-1][0] == first
-    asked[-1][1](_page(2, 2), "")
+    assert requests[-1][0] == limited_target
+    requests[-1][1](_page_response(2, 2), "")
     assert [t.target_id for t in lists[0]] == ["i-1", "i-2"]
 
 
-def test_a_broken_page_is_asked_for_again_before_the_reading_begins_anew(reading):
-    asked, timers, lists = reading
-    asked[-1][1](_page(1, 2), "")
+def test_failed_page_is_retried_before_the_reading_restarts(reading):
+    requests, timers, lists = reading
+    requests[-1][1](_page_response(1, 2), "")
     timers.calls[-1][1]()
-    second = asked[-1][0]
-    for _ in range(PAGE_TRIES):
-        assert asked[-1][0] == second
-        asked[-1][1](None, "no answer in 0.8 s")
+    failed_target = requests[-1][0]
+    for _ in range(MAX_PAGE_ATTEMPTS):
+        assert requests[-1][0] == failed_target
+        requests[-1][1](None, "no answer in 0.8 s")
         timers.calls[-1][1]()
-    assert asked[-1][0] == asked[0][0]
+    assert requests[-1][0] == requests[0][0]
     assert lists == []
 
 
-def test_a_broken_first_page_begins_anew(reading):
-    asked, timers, lists = reading
-    asked[-1][1](None, "no answer in 0.8 s")
+def test_failed_first_page_restarts_the_reading(reading):
+    requests, timers, lists = reading
+    requests[-1][1](None, "no answer in 0.8 s")
     timers.calls[-1][1]()
-    assert asked[-1][0] == asked[0][0] and len(asked) == 2
+    assert requests[-1][0] == requests[0][0] and len(requests) == 2
 
 
-def test_pages_are_given_as_they_come(monkeypatch):
-    asked, timers, lists, pages = _watch(monkeypatch)
+def test_pages_are_delivered_before_the_list_is_complete(monkeypatch):
+    requests, timers, lists, pages = _watch(monkeypatch)
     for number in (1, 2):
-        asked[-1][1](_page(number, 3), "")
+        requests[-1][1](_page_response(number, 3), "")
         timers.calls[-1][1]()
     assert [t.target_id for page in pages for t in page] == ["i-1", "i-2"]
     assert lists == []
 
 
-def test_a_list_that_answers_fewer_calls_than_it_states_is_read_at_its_rate(reading):
-    # Half of the rate that one reading keeps to, in a window of a second.
-    asked, timers, lists = reading
-    pages, answered, now = 60, [], 0.0
+def test_reading_adapts_to_a_rate_below_the_stated_limit(reading):
+    # The list allows half of the rate that one reader uses, in a window of a second.
+    requests, timers, lists = reading
+    pages, answered_at, now = 60, [], 0.0
     number = 1
     while not lists:
-        recent = [at for at in answered if at > now - 1.0]
-        if len(recent) < RATE_PART * RATE / 2:
-            answered.append(now)
-            asked[-1][1](_page(number, pages), "")
+        recent = [at for at in answered_at if at > now - 1.0]
+        if len(recent) < RATE_SHARE * RATE / 2:
+            answered_at.append(now)
+            requests[-1][1](_page_response(number, pages), "")
             number += 1
         else:
-            asked[-1][1](HttpResponse(429, Headers(()), b""), "")
+            requests[-1][1](HttpResponse(429, Headers(()), b""), "")
         delay_s, call = timers.calls[-1]
         now += delay_s
         call()
-    least_s = pages / (RATE_PART * RATE / 2)
-    assert now - PERIOD_S < 1.5 * least_s
+    min_duration_s = pages / (RATE_SHARE * RATE / 2)
+    assert now - PERIOD_S < 1.5 * min_duration_s
 
 
-def test_a_reading_is_fast_again_once_calls_are_not_limited_any_more(reading):
-    asked, timers, lists = reading
-    asked[-1][1](_page(1, 2), "")
+def test_pause_shrinks_back_after_rate_limiting_ends(reading):
+    requests, timers, lists = reading
+    requests[-1][1](_page_response(1, 2), "")
     timers.calls[-1][1]()
-    asked[-1][1](HttpResponse(429, Headers(()), b""), "")
-    slow_s = timers.calls[-1][0]
+    requests[-1][1](HttpResponse(429, Headers(()), b""), "")
+    limited_pause_s = timers.calls[-1][0]
     timers.calls[-1][1]()
     pauses = []
     for _ in range(8):
-        asked[-1][1](_page(2, 2), "")
+        requests[-1][1](_page_response(2, 2), "")
         timers.calls[-1][1]()
-        asked[-1][1](_page(1, 2), "")
+        requests[-1][1](_page_response(1, 2), "")
         pauses.append(timers.calls[-1][0])
         timers.calls[-1][1]()
-    assert slow_s > pauses[1] > pauses[2]
-    assert pauses[-1] == PAGE_S
+    assert limited_pause_s > pauses[1] > pauses[2]
+    assert pauses[-1] == PAGE_PAUSE_S
--- a/tests/test_daemon/test_fleet_weights.py
+++ b/tests/test_daemon/test_fleet_weights.py
@@ -1,24 +1,24 @@
-"""Engines are emptied of long requests before they load weights."""
+"""Tests that engines are emptied of long requests before they load weights."""
 
 import pytest
 
 from berylnotch.daemon.fleet import weights
 from berylnotch.daemon.fleet.weights import (
-    EMPTY_LOOK_S,
-    EMPTY_OVERDUE_S,
-    EMPTY_PART,
-    EMPTY_S,
+    EMPTYING_CHECK_INTERVAL_S,
+    MAX_EMPTYING_OVERDUE_S,
+    MAX_EMPTYING_S,
+    OVERDUE_SHARE,
     WeightsRollout,
 )
 from berylnotch.membership.board import TargetBoard
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 from berylnotch.membership.naming import WeightsNames
 
-BOUND_S = 15.0
+WEIGHTS_LIMIT_S = 15.0
 
 
 class Clock:
-    """Boot time and a loop whose timers run when the time is advanced."""
+    """Fake boot time and event loop, whose timers run when the time is advanced."""
 
     def __init__(self):
         self.now, self.timers = 100.0, []
@@ -36,22 +36,22 @@
         self.now = until
 
 
-class HeldRight:
-    """A right to give orders that this leader always has."""
+class HeldOrderRight:
+    """Fake of the right to send orders that is always held."""
 
     is_held = True
 
     def began(self):
-        """Take the begin of a load."""
+        """Ignore the start of a load."""
 
     ended = began
 
 
 class Log:
-    """A log that is not read."""
+    """Log that discards its lines."""
 
     def info(self, event, **fields):
-        """Take a line."""
+        """Discard a line."""
 
     warning = error = info
 
@@ -64,14 +64,14 @@
 
 
 @pytest.fixture
-def asked(monkeypatch):
-    asked = []
+def requests(monkeypatch):
+    requests = []
 
     def fetch(_loop, address, request, _seconds, _done):
-        asked.append((str(address), request.method, request.target))
+        requests.append((str(address), request.method, request.target))
 
     monkeypatch.setattr(weights, "fetch", fetch)
-    return asked
+    return requests
 
 
 def make_rollout(clock, long_requests, named_at=100.0):
@@ -89,21 +89,21 @@
         clock,
         board,
         names,
-        HeldRight(),
+        HeldOrderRight(),
         lambda: True,
         dict,
         lambda target_id: long_requests.get(target_id, 0),
         frozenset,
         "c1",
         7,
-        BOUND_S,
+        WEIGHTS_LIMIT_S,
         lambda: None,
         Log(),
     )
     return rollout, board
 
 
-def states(board):
+def loading_states(board):
     return {
         entry.target.target_id: "loading" if entry.is_loading else "emptying"
         for entry in board.entries()
@@ -111,49 +111,49 @@
     }
 
 
-def test_an_engine_without_long_requests_loads_at_once(clock, asked):
+def test_engine_without_long_requests_loads_immediately(clock, requests):
     rollout, board = make_rollout(clock, {})
     rollout.advance()
-    assert states(board) == {"e0": "loading", "e1": "loading"}
+    assert loading_states(board) == {"e0": "loading", "e1": "loading"}
     clock.advance(0.1)
-    assert {address for address, _, _ in asked} == {"10.0.0.0:1", "10.0.0.1:1"}
+    assert {address for address, _, _ in requests} == {"10.0.0.0:1", "10.0.0.1:1"}
 
 
-def test_an_engine_with_long_requests_is_emptied_first(clock, asked):
+def test_engine_with_long_requests_is_emptied_before_it_loads(clock, requests):
     long_requests = {"e0": 2}
     rollout, board = make_rollout(clock, long_requests)
     rollout.advance()
-    assert states(board) == {"e0": "emptying", "e1": "loading"}
+    assert loading_states(board) == {"e0": "emptying", "e1": "loading"}
     clock.advance(1.0)
-    assert states(board)["e0"] == "emptying"
+    assert loading_states(board)["e0"] == "emptying"
     long_requests["e0"] = 0
     clock.advance(0.1)
-    assert states(board)["e0"] == "loading"
+    assert loading_states(board)["e0"] == "loading"
 
 
-def test_an_engine_is_not_emptied_for_ever(clock, asked):
+def test_emptying_time_is_bounded(clock, requests):
     rollout, board = make_rollout(clock, {"e0": 2})
     rollout.advance()
-    clock.advance(EMPTY_S + 0.2)
-    assert states(board)["e0"] == "loading"
+    clock.advance(MAX_EMPTYING_S + 0.2)
+    assert loading_states(board)["e0"] == "loading"
 
 
-def test_weights_that_are_late_are_loaded_with_hardly_any_waiting(clock, asked):
-    named_at = clock.now - EMPTY_PART * BOUND_S - 0.1
+def test_overdue_weights_shorten_the_emptying_time(clock, requests):
+    named_at = clock.now - OVERDUE_SHARE * WEIGHTS_LIMIT_S - 0.1
     rollout, board = make_rollout(clock, {"e0": 2}, named_at)
     rollout.advance()
-    assert states(board)["e0"] == "emptying"
-    clock.advance(EMPTY_OVERDUE_S + 2 * EMPTY_LOOK_S)
-    assert states(board)["e0"] == "loading"
+    assert loading_states(board)["e0"] == "emptying"
+    clock.advance(MAX_EMPTYING_OVERDUE_S + 2 * EMPTYING_CHECK_INTERVAL_S)
+    assert loading_states(board)["e0"] == "loading"
 
 
-def test_weights_that_get_late_while_an_engine_is_emptied_are_loaded_then(clock, asked):
-    late_at = clock.now + 1.0
+def test_weights_overdue_during_emptying_are_loaded_then(clock, requests):
+    overdue_at = clock.now + 1.0
     rollout, board = make_rollout(
-        clock, {"e0": 2}, named_at=late_at - EMPTY_PART * BOUND_S
+        clock, {"e0": 2}, named_at=overdue_at - OVERDUE_SHARE * WEIGHTS_LIMIT_S
     )
     rollout.advance()
     clock.advance(1.0)
-    assert states(board)["e0"] == "emptying"
-    clock.advance(2 * EMPTY_LOOK_S)
-    assert states(board)["e0"] == "loading"
+    assert loading_states(board)["e0"] == "emptying"
+    clock.advance(2 * EMPTYING_CHECK_INTERVAL_S)
+    assert loading_states(board)["e0"] == "loading"
--- a/tests/test_daemon/test_moving_load.py
+++ b/tests/test_daemon/test_moving_load.py
@@ -1,8 +1,10 @@
-"""Plays long runs while new weights are loaded, which moving them answers.
+"""Simulation of long runs during a rollout of weights, with and without migration.
 
-Five engines take eight long runs each, of 2.5 s; twelve runs begin in a second. All
-engines load weights, which takes 0.76 s and waits for their runs. The baseline waits
-for the runs to end.
+A load of weights waits for the runs of its engine, so that engines are unavailable for
+long and requests are refused. Migration of the runs to other engines prevents this.
+Five engines have eight slots each for runs of 2.5 s, and twelve runs start each second.
+All engines load weights, for 0.76 s each. Without migration, a load waits until the
+runs of its engine have ended.
 """
 
 import json
@@ -19,35 +21,35 @@
 
 LOAD_S, RUN_S, SLOTS, RUNS_PER_S = 0.76, 2.5, 8, 12
 
-#: Steps of the play, and its length, in seconds.
-STEP_S, SECONDS = 0.02, 14.0
+#: Time step and duration of the simulation, in seconds.
+STEP_S, DURATION_S = 0.02, 14.0
 
 
 @define(eq=False)
 class Engine:
-    """An engine's runs by the time of their end, and the load it was ordered."""
+    """Simulated engine: the end times of its runs and the load that it was ordered."""
 
     target: object
     version: int = 1
     runs: list = field(factory=list)
     ordered_version: int = 0
-    loaded_at: float = 0.0
+    load_ends_at: float = 0.0
     orders: int = 0
 
-    def step(self, now):
+    def advance(self, now):
         self.runs = [end for end in self.runs if end > now]
         if not self.ordered_version:
             return
-        if not self.loaded_at and not self.runs:
-            self.loaded_at = now + LOAD_S
-        elif self.loaded_at and now >= self.loaded_at:
-            self.version, self.ordered_version, self.loaded_at = (
+        if not self.load_ends_at and not self.runs:
+            self.load_ends_at = now + LOAD_S
+        elif self.load_ends_at and now >= self.load_ends_at:
+            self.version, self.ordered_version, self.load_ends_at = (
                 self.ordered_version,
                 0,
                 0.0,
             )
 
-    def answer(self, request):
+    def respond(self, request):
         if request.target == "/order":
             self.ordered_version = json.loads(request.body)["version"]
             self.orders += 1
@@ -60,45 +62,45 @@
         return HttpResponse(200, Headers(), json.dumps(body).encode())
 
 
-class Play:
-    """The leader's rollout before engines, and what the routers do at each step."""
+class Simulation:
+    """A leader's rollout on simulated engines, and the routers' work at each step."""
 
-    def __init__(self, clock, monkeypatch, moves):
-        self.clock, self.moves = clock, moves
-        self.refused = self.begun = self.moved = 0
-        self.out_s = {}
+    def __init__(self, clock, monkeypatch, can_move):
+        self.clock, self.can_move = clock, can_move
+        self.refused = self.started = self.moved = 0
+        self.unavailable_s = {}
         self.engines = {f"e{n}": Engine(make_target(f"e{n}")) for n in range(5)}
         long_requests = {}
         self.long_requests = long_requests
         self.rollout, self.board = make_rollout(clock, long_requests, clock.now + 2)
-        by_address = {t.address: t.target_id for t in self.board.targets()}
+        id_by_address = {t.address: t.target_id for t in self.board.targets()}
 
         def fetch(_loop, address, request, _seconds, done):
-            answer = self.engines[by_address[str(address)]].answer(request)
-            clock.call_later(0.002, lambda: done(answer, ""))
+            response = self.engines[id_by_address[str(address)]].respond(request)
+            clock.call_later(0.002, lambda: done(response, ""))
 
         monkeypatch.setattr(weights, "fetch", fetch)
 
     def run(self):
-        until, next_run = self.clock.now + SECONDS, self.clock.now
-        while self.clock.now < until:
+        end_at, next_run_at = self.clock.now + DURATION_S, self.clock.now
+        while self.clock.now < end_at:
             self.clock.advance(STEP_S)
             now = self.clock.now
             for engine in self.engines.values():
-                engine.step(now)
-            self.see_board()
-            if self.moves:
+                engine.advance(now)
+            self.apply_board()
+            if self.can_move:
                 self.move_runs()
-            while next_run <= now:
-                next_run += 1 / RUNS_PER_S
-                self.begin_run(now)
+            while next_run_at <= now:
+                next_run_at += 1 / RUNS_PER_S
+                self.start_run(now)
             for name, engine in self.engines.items():
                 self.long_requests[name] = len(engine.runs)
             if now >= 102.0:
                 self.rollout.advance()
         return self
 
-    def see_board(self):
+    def apply_board(self):
         for entry in self.board.entries():
             name = entry.target.target_id
             engine, target = self.engines[name], self.engines[name].target
@@ -108,23 +110,23 @@
             target.listed = evolve(target.listed, models=models, slots=2 * SLOTS)
             target.in_flight = len(engine.runs)
             if entry.is_emptying or entry.is_loading:
-                self.out_s[name] = self.out_s.get(name, 0.0) + STEP_S
+                self.unavailable_s[name] = self.unavailable_s.get(name, 0.0) + STEP_S
 
     def move_runs(self):
         targets = [engine.target for engine in self.engines.values()]
         for engine in self.engines.values():
             while engine.target.is_emptying and engine.runs:
-                placing = long_request(now=self.clock.now)
-                refuge = choose_refuge(targets, placing, engine.target)
-                if refuge is None:
+                request = long_request(now=self.clock.now)
+                destination = choose_refuge(targets, request, engine.target)
+                if destination is None:
                     break
                 run = engine.runs.pop()
-                self.engines[refuge.target_id].runs.append(run)
-                refuge.in_flight += 1
+                self.engines[destination.target_id].runs.append(run)
+                destination.in_flight += 1
                 self.moved += 1
 
-    def begin_run(self, now):
-        free = [
+    def start_run(self, now):
+        available = [
             engine
             for engine in self.engines.values()
             if not engine.target.is_emptying
@@ -132,33 +134,33 @@
             and not engine.ordered_version
             and len(engine.runs) < SLOTS
         ]
-        self.begun += 1
-        if free:
-            min(free, key=lambda e: len(e.runs)).runs.append(now + RUN_S)
+        self.started += 1
+        if available:
+            min(available, key=lambda e: len(e.runs)).runs.append(now + RUN_S)
         else:
             self.refused += 1
 
     @property
-    def mean_out_s(self):
-        return sum(self.out_s.values()) / len(self.out_s)
+    def mean_unavailable_s(self):
+        return sum(self.unavailable_s.values()) / len(self.unavailable_s)
 
 
 @pytest.fixture
-def play(monkeypatch):
-    def play(moves):
+def simulate(monkeypatch):
+    def simulate(can_move):
         clock = Clock()
         monkeypatch.setattr(weights, "boot_time", lambda: clock.now)
-        return Play(clock, monkeypatch, moves).run()
+        return Simulation(clock, monkeypatch, can_move).run()
 
-    return play
+    return simulate
 
 
-def test_engines_are_back_sooner_and_callers_are_served(play):
-    before, after = play(moves=False), play(moves=True)
-    for outcome in (before, after):
-        assert [e.version for e in outcome.engines.values()] == [2] * 5
-        assert [e.orders for e in outcome.engines.values()] == [1] * 5
-    assert after.moved > 10
-    # The last engine with older weights has no refuge and waits as before.
-    assert after.mean_out_s < 0.6 * before.mean_out_s
-    assert 2 * after.refused <= before.refused
+def test_moving_runs_shortens_unavailability_and_reduces_refusals(simulate):
+    waiting, moving = simulate(can_move=False), simulate(can_move=True)
+    for result in (waiting, moving):
+        assert [e.version for e in result.engines.values()] == [2] * 5
+        assert [e.orders for e in result.engines.values()] == [1] * 5
+    assert moving.moved > 10
+    # The last engine with older weights has no destination for its runs, so it waits.
+    assert moving.mean_unavailable_s < 0.6 * waiting.mean_unavailable_s
+    assert 2 * moving.refused <= waiting.refused
