--- a/berylnotch/daemon/fleet/__init__.py
+++ b/berylnotch/daemon/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of a fleet that runs on the users' platform: router and controller."""
+"""Router and controller processes of a fleet on the users' platform."""
--- a/berylnotch/daemon/fleet/controller.py
+++ b/berylnotch/daemon/fleet/controller.py
@@ -1,4 +1,4 @@
-"""Controller of a fleet: replicated configuration, and the leader's services."""
+"""Controller process: a replica of the configuration, and the leader's services."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 from berylnotch.util.loop import Loop
 from berylnotch.util.metrics import Metrics
 
-#: Seconds between two looks whether this controller leads.
-LEAD_CHECK_S = 0.05
+#: Interval in seconds between checks whether this controller leads.
+LEADERSHIP_CHECK_S = 0.05
 
 _CONSENSUS = message_classes(consensus)
 
 
 class FleetController:
-    """The process on a VM with a disk.
+    """Controller process; it stores its replica of the log on the VM's disk.
 
     Parameters
     ----------
     settings : FleetSettings
         Settings of the process.
     seeds : callable
-        Returns the addresses of controllers to ask first.
+        Returns the addresses of the controllers that are contacted first.
     loop : Loop
-        Loop in which everything runs.
+        Event loop that runs all callbacks of the process.
     log : EventLog
         Log of the process.
     """
@@ -62,7 +62,7 @@
         self._log = log
         self._link_settings = LinkSettings()
         self._state = FleetState()
-        self._names = WeightsNames()
+        self._weight_versions = WeightsNames()
         self._leader: Leader | None = None
         self._links: set[Link] = set()
         self._seekers = Seekers()
@@ -70,7 +70,7 @@
             loop, CONTROLLER_MESSAGES, self._receive, log, self._link_settings
         )
         self._host = ReplicaHost(
-            settings, seeds, loop, self._peers.send, self._state, log, self._applied
+            settings, seeds, loop, self._peers.send, self._state, log, self._on_applied
         )
         self._acceptor = Acceptor(loop, settings.links_listen, self._accept)
         self.metrics = Metrics()
@@ -78,20 +78,20 @@
             settings, loop, self._host, self._state, log, self.metrics
         )
         self._metrics_server = MetricsServer(
-            loop, settings.metrics, self.metrics, self._measure
+            loop, settings.metrics, self.metrics, self._update_gauges
         )
 
     def start(self) -> None:
-        """Serve."""
+        """Start the replica and all servers of the process."""
         self._acceptor.start()
         self._host.start()
         self._operators.start()
         self._metrics_server.start()
-        self._loop.call_every(LEAD_CHECK_S, self._look)
+        self._loop.call_every(LEADERSHIP_CHECK_S, self._poll_leadership)
         self._log.info("started", internal=self._settings.internal)
 
     def close(self) -> None:
-        """Hand leadership on and stop serving."""
+        """Transfer leadership and stop all servers."""
         self._stop_leading("stopping")
         self._operators.close()
         self._host.close()
@@ -109,17 +109,17 @@
             sock,
             CONTROLLER_MESSAGES,
             self._receive,
-            self._link_closed,
+            self._on_link_closed,
             self._link_settings,
         )
         self._links.add(link)
         link.start()
 
-    def _link_closed(self, link: Link, reason: str) -> None:
+    def _on_link_closed(self, link: Link, reason: str) -> None:
         self._links.discard(link)
         self._seekers.lost(link)
         if self._leader is not None:
-            self._leader.registry.lost(link, reason)
+            self._leader.registry.on_link_closed(link, reason)
 
     def _receive(self, link: Link, message: object) -> None:
         if isinstance(message, _CONSENSUS):
@@ -132,20 +132,20 @@
         elif isinstance(message, RouterReport):
             self._check_leadership()
             if self._is_leader_known():
-                self._answer(link, message)
+                self._answer_report(link, message)
             else:
                 self._seekers.add(link, message, boot_time())
         elif isinstance(message, GrantRequest):
             if self._leader is not None and self._host.is_active():
-                self._leader.grant(link, message)
+                self._leader.answer_grant_request(link, message)
 
     def _is_leader_known(self) -> bool:
         return self._leader is not None or self._redirect().leader != ""
 
-    def _answer(self, link: Link, report: RouterReport) -> None:
-        """Take a router's report as leader, or tell it where to go."""
+    def _answer_report(self, link: Link, report: RouterReport) -> None:
+        """Process a router's report as leader, or redirect the router to the leader."""
         if self._leader is not None:
-            self._leader.take_report(link, report)
+            self._leader.on_report(link, report)
         else:
             link.send(self._redirect())
 
@@ -155,16 +155,16 @@
             leader = ""
         return Redirect(leader, self._host.known_addresses)
 
-    def _applied(self) -> None:
+    def _on_applied(self) -> None:
         for named in self._state.weights:
-            self._names.note(named.name, named.version, boot_time())
+            self._weight_versions.note(named.name, named.version, boot_time())
         if self._leader is not None:
-            self._leader.applied()
+            self._leader.on_applied()
 
-    def _look(self) -> None:
+    def _poll_leadership(self) -> None:
         self._check_leadership()
         for link, report in self._seekers.take(boot_time(), self._is_leader_known()):
-            self._answer(link, report)
+            self._answer_report(link, report)
 
     def _check_leadership(self) -> None:
         is_active = self._host.is_active()
@@ -175,11 +175,11 @@
                 self._loop,
                 self._host,
                 self._state,
-                self._names,
+                self._weight_versions,
                 self._log,
             )
             self._leader.start()
-            self._leader.applied()
+            self._leader.on_applied()
         elif not is_active and self._leader is not None:
             self._stop_leading("lease lost")
 
@@ -194,12 +194,12 @@
         )
         self._leader.close()
         self._leader = None
-        # Routers look for the next leader at once.
+        # Redirects without a leader make routers search for the next one at once.
         redirect = Redirect("", self._host.known_addresses)
         for link in tuple(self._links):
             link.send(redirect)
 
-    def _measure(self) -> None:
+    def _update_gauges(self) -> None:
         metrics = self.metrics
         metrics.gauge("berylnotch_leader", float(self._leader is not None))
         metrics.gauge("berylnotch_term", float(self._host.term))
--- a/berylnotch/daemon/fleet/feed.py
+++ b/berylnotch/daemon/fleet/feed.py
@@ -1,4 +1,4 @@
-"""What changed in a table since it was last sent to all routers."""
+"""Delta encoding of the tables that the leader sends to all routers."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 @frozen
 class Change:
-    """Entries that are new or differ, and the keys of those that are gone."""
+    """Entries that were added or modified, and the keys of removed entries."""
 
     entries: tuple[Any, ...]
     gone: tuple[str, ...]
 
 
-class Feed:
-    """A table of which changes are sent instead of the whole.
+class DeltaTable:
+    """Table that returns its changes, which are sent instead of the whole table.
 
-    With hundreds of routers and targets, the whole table for each change would take
-    more of the controllers' links than all other messages together. Links keep the
-    order, so a router that got the whole table once can follow by changes.
+    With hundreds of routers and targets, sending the whole table for each change would
+    use more bandwidth of the controllers than all other messages together. Links
+    deliver messages in order, so a router that received the whole table once can apply
+    the changes that follow.
     """
 
     def __init__(self) -> None:
@@ -29,24 +30,26 @@
 
     @property
     def entries(self) -> tuple[Any, ...]:
-        """The whole table as last taken."""
+        """All entries of the current table."""
         return tuple(self._entries.values())
 
-    def add(self, entries: Mapping[str, Any]) -> tuple[Any, ...]:
-        """Take a part of the table; return the entries that are new or differ."""
+    def update(self, entries: Mapping[str, Any]) -> tuple[Any, ...]:
+        """Merge entries into the table; return those that were added or modified."""
         changed = _changed(self._entries, entries)
         self._entries.update(entries)
         return changed
 
-    def take(self, entries: Mapping[str, Any]) -> Change | None:
-        """Take the table anew; return what changed, or None."""
-        known, self._entries = self._entries, dict(entries)
-        changed = _changed(known, entries)
-        gone = tuple(key for key in known if key not in entries)
+    def replace(self, entries: Mapping[str, Any]) -> Change | None:
+        """Replace the whole table; return the changes, or None if there are none."""
+        previous, self._entries = self._entries, dict(entries)
+        changed = _changed(previous, entries)
+        gone = tuple(key for key in previous if key not in entries)
         if not changed and not gone:
             return None
         return Change(changed, gone)
 
 
-def _changed(known: Mapping[str, Any], entries: Mapping[str, Any]) -> tuple[Any, ...]:
-    return tuple(e for key, e in entries.items() if known.get(key) != e)
+def _changed(
+    previous: Mapping[str, Any], entries: Mapping[str, Any]
+) -> tuple[Any, ...]:
+    return tuple(e for key, e in entries.items() if previous.get(key) != e)
--- a/berylnotch/daemon/fleet/follower.py
+++ b/berylnotch/daemon/fleet/follower.py
@@ -1,4 +1,4 @@
-"""A router's link to the leading controller."""
+"""Router's link to the leader of the controllers."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
-#: Pause in seconds before the next controller is asked.
+#: Back-off in seconds before the next controller is tried.
 RETRY_S = 0.1
 
-#: Seconds in which a controller must answer a first report, though it sends heartbeats.
-#: A new leader answers all routers at the same time, some ms each, and one that comes
-#: again because it did not wait adds to that.
-ANSWER_S = 2.0
+#: Seconds within which a controller must answer a router's first report; heartbeats do
+#: not count as an answer. A new leader answers all routers at the same time and needs
+#: some milliseconds for each; a router that times out and reconnects adds to that load.
+ANSWER_TIMEOUT_S = 2.0
 
-#: Seconds for which a controller that did not answer is asked last.
-UNANSWERED_S = 1.5
+#: Seconds for which a controller that did not answer is tried after all others.
+UNANSWERED_BACK_OFF_S = 1.5
 
-#: Seconds for which a leader that fell silent is asked last.
-AVOID_S = 3.0
+#: Seconds for which a leader whose link was lost is tried after all others.
+LOST_LEADER_BACK_OFF_S = 3.0
 
-#: Reason of a link's end when another controller leads.
+#: Reason for closing a link when another controller leads.
 NOT_LEADER = "not the leader"
 
-#: Reason of a link's end when its controller or this process stops.
+#: Reason for closing a link when its controller or this process stops.
 STOPPING = "stopping"
 
 
 class LeaderLink:
-    """Finds the leader, by way of the seeds and all controllers it hears of.
+    """Discovers the leader through the seeds and the addresses in redirects.
 
     Parameters
     ----------
     loop : Loop
-        Loop in which everything runs.
+        Event loop that runs all callbacks.
     seeds : callable
-        Returns the addresses to begin with.
+        Returns the addresses of the controllers that are tried first.
     on_open : callable
-        Called with each new link, to report on it.
+        Called when a link is opened; it must send the router's first report.
     on_message : callable
-        Gets each message of a controller.
+        Receives each message of the leader except redirects.
     log : EventLog
         Log of the process.
     settings : LinkSettings
-        Timing.
+        Time-outs of the link.
     """
 
     def __init__(
@@ -69,54 +69,55 @@
         self._log = log
         self._settings = settings
         self._link: Link | None = None
-        self._next = ""
-        self._known: tuple[str, ...] = ()
-        self._turn = itertools.count()
+        self._redirect_address = ""
+        self._known_addresses: tuple[str, ...] = ()
+        self._address_counter = itertools.count()
         self._is_closed = False
         self._has_leader = False
-        #: Until when controllers are asked last, and which led and fell silent.
-        self._last_until: dict[str, float] = {}
-        self._lost_until: dict[str, float] = {}
+        #: Boot times, by address, until which a controller is tried after all others,
+        #: and until which a redirect to a lost leader is ignored.
+        self._back_off_until: dict[str, float] = {}
+        self._lost_leader_until: dict[str, float] = {}
 
     @property
     def has_leader(self) -> bool:
-        """Whether the present link leads to a controller that answered as leader."""
+        """Whether the controller at the current link has answered as leader."""
         return self._has_leader and self._link is not None
 
     @property
     def heard_s(self) -> float | None:
-        """Seconds since the leader was heard, None without a leader."""
+        """Seconds since the leader's last message, None without a leader."""
         if self._link is None or not self._has_leader:
             return None
         return boot_time() - self._link.heard_at
 
     def start(self) -> None:
-        """Look for the leader."""
+        """Start to search for the leader."""
         self._connect()
 
     def close(self) -> None:
-        """End the link."""
+        """Close the link and stop the search."""
         self._is_closed = True
         if self._link is not None:
             self._link.close(STOPPING)
 
     def send(self, message: object) -> None:
-        """Send a message, if there is a link."""
+        """Send a message; without a link it is dropped."""
         if self._link is not None:
             self._link.send(message)
 
     def _connect(self) -> None:
         if self._is_closed or self._link is not None:
             return
-        address = self._next or self._any()
-        self._next = ""
+        address = self._redirect_address or self._pick_address()
+        self._redirect_address = ""
         try:
             self._link = open_link(
                 self._loop,
                 parse_address(address),
                 ROUTER_MESSAGES,
                 self._receive,
-                self._closed,
+                self._on_closed,
                 self._settings,
             )
         except (OSError, ConfigurationError) as error:
@@ -126,18 +127,18 @@
         link = self._link
         link.start()
         self._on_open()
-        self._loop.call_later(ANSWER_S, lambda: self._check_answer(link))
+        self._loop.call_later(ANSWER_TIMEOUT_S, lambda: self._check_answer(link))
 
     def _check_answer(self, link: Link) -> None:
         if link is self._link and not self._has_leader and not link.is_closed:
-            link.close(f"{SILENT}: no answer within {ANSWER_S:g} s")
+            link.close(f"{SILENT}: no answer within {ANSWER_TIMEOUT_S:g} s")
 
-    def _any(self) -> str:
+    def _pick_address(self) -> str:
         now = boot_time()
-        addresses = sorted({*self._known, *self._seeds()})
-        willing = [a for a in addresses if self._last_until.get(a, 0.0) < now]
-        choices = willing or addresses
-        return choices[next(self._turn) % len(choices)]
+        addresses = sorted({*self._known_addresses, *self._seeds()})
+        preferred = [a for a in addresses if self._back_off_until.get(a, 0.0) < now]
+        candidates = preferred or addresses
+        return candidates[next(self._address_counter) % len(candidates)]
 
     def _receive(self, link: Link, message: object) -> None:
         if link is not self._link:
@@ -148,30 +149,33 @@
                 self._log.info("leader_found", at=link.peer)
             self._on_message(message)
             return
-        self._known = message.members
-        # A frozen leader is named by the others until they elect another one. One
-        # that merely did not answer in time is the leader all the same.
-        is_lost = self._lost_until.get(message.leader, 0.0) > boot_time()
-        if message.leader and message.leader != link.peer and not is_lost:
-            self._next = message.leader
+        self._known_addresses = message.members
+        # The other controllers name a frozen leader until they elect a new one, so a
+        # lost leader is not followed. A controller that merely exceeded the answer
+        # time-out may still be the leader, so a redirect to it is followed.
+        was_lost = self._lost_leader_until.get(message.leader, 0.0) > boot_time()
+        if message.leader and message.leader != link.peer and not was_lost:
+            self._redirect_address = message.leader
         link.close(NOT_LEADER)
 
-    def _closed(self, link: Link, reason: str) -> None:
+    def _on_closed(self, link: Link, reason: str) -> None:
         if link is not self._link:
             return
         self._link = None
         if reason != NOT_LEADER:
-            self._avoid(link.peer, reason)
+            self._back_off(link.peer, reason)
         if self._has_leader:
             self._log.warning("leader_lost", at=link.peer, reason=reason)
         self._has_leader = False
         if not self._is_closed:
-            delay_s = 0.0 if self._next else RETRY_S
+            delay_s = 0.0 if self._redirect_address else RETRY_S
             self._loop.call_later(delay_s, self._connect)
 
-    def _avoid(self, address: str, reason: str) -> None:
+    def _back_off(self, address: str, reason: str) -> None:
         now = boot_time()
         if self._has_leader and reason != STOPPING:
-            self._lost_until[address] = self._last_until[address] = now + AVOID_S
+            self._lost_leader_until[address] = self._back_off_until[address] = (
+                now + LOST_LEADER_BACK_OFF_S
+            )
         elif reason.startswith(SILENT):
-            self._last_until[address] = now + UNANSWERED_S
+            self._back_off_until[address] = now + UNANSWERED_BACK_OFF_S
--- a/berylnotch/daemon/fleet/group_keeper.py
+++ b/berylnotch/daemon/fleet/group_keeper.py
@@ -1,4 +1,4 @@
-"""A controller's part in its group: who belongs to it, and how to be let in."""
+"""Membership of a controller in the consensus group: member changes and joining."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class GroupKeeper:
-    """Changes the group's members while its replica leads, else asks to join.
+    """Changes the group's members on the leader, and requests to join elsewhere.
 
     Parameters
     ----------
     settings : FleetSettings
         Settings of the process.
     seeds : callable
-        Returns the addresses of controllers to ask first.
+        Returns the addresses of the controllers that are contacted first.
     send : callable
         Sends a message to an address.
     log : EventLog
@@ -42,42 +42,42 @@
         self._seeds = seeds
         self._send = send
         self._log = log
-        self._candidates: dict[str, JoinRequest] = {}
-        self._asked_at: dict[str, float] = {}
+        self._join_requests: dict[str, JoinRequest] = {}
+        self._join_received_at: dict[str, float] = {}
         self._member_since: dict[str, float] = {}
-        self._known: set[str] = set()
-        self._leader_heard_at = boot_time()
-        self._joined_at = 0.0
+        self._learned_addresses: set[str] = set()
+        self._leader_contact_at = boot_time()
+        self._join_sent_at = 0.0
 
     def known_addresses(self, replica: Replica | None) -> tuple[str, ...]:
-        """Return the addresses of all controllers that this one has heard of."""
+        """Return the addresses of all controllers known from members and redirects."""
         members = replica.members.members if replica is not None else ()
-        return tuple(sorted({m.address for m in members} | self._known))
+        return tuple(sorted({m.address for m in members} | self._learned_addresses))
 
     def learn(self, redirect: Redirect) -> None:
-        """Take addresses of controllers from one that does not lead."""
-        self._known.update(redirect.members)
+        """Add the controller addresses of a redirect."""
+        self._learned_addresses.update(redirect.members)
         if redirect.leader:
-            self._known.add(redirect.leader)
+            self._learned_addresses.add(redirect.leader)
 
     def heard_leader(self) -> None:
-        """Note that there is a leader."""
-        self._leader_heard_at = boot_time()
+        """Record that the replica currently knows a leader."""
+        self._leader_contact_at = boot_time()
 
     def join(self, request: JoinRequest) -> None:
-        """Note a request to join."""
-        if request.replica not in self._candidates:
+        """Record a controller's request to join the group."""
+        if request.replica not in self._join_requests:
             self._log.info("join_asked", replica=request.replica, at=request.address)
-        self._candidates[request.replica] = request
-        self._asked_at[request.replica] = boot_time()
+        self._join_requests[request.replica] = request
+        self._join_received_at[request.replica] = boot_time()
 
     def change_members(self, replica: Replica) -> bool:
-        """Propose the change that is due; return whether there was one."""
+        """Propose the member change that is due; return whether one was proposed."""
         now = boot_time()
-        for name, asked_at in tuple(self._asked_at.items()):
-            if now - asked_at > self._group_settings.candidate_s:
-                del self._asked_at[name], self._candidates[name]
-        view = self._view(now, replica)
+        for name, received_at in tuple(self._join_received_at.items()):
+            if now - received_at > self._group_settings.candidate_s:
+                del self._join_received_at[name], self._join_requests[name]
+        view = self._group_view(now, replica)
         members = next_change(view, self._group_settings)
         if members is None:
             return False
@@ -88,22 +88,24 @@
             return False
         self._log.info(
             "members_changed",
-            before=_describe(view.members),
-            after=_describe(members),
+            before=_format_members(view.members),
+            after=_format_members(members),
         )
         return True
 
     def ask_to_join(self, replica: Replica) -> None:
-        """Ask to be let in, unless this replica is a member that hears its leader."""
+        """Request to join, unless this replica is a member with a known leader."""
         now = boot_time()
         self._member_since.clear()
         is_member = any(m.replica == replica.identity for m in replica.members.members)
-        is_lost = now - self._leader_heard_at > self._group_settings.lost_contact_s
-        if is_member and not is_lost:
+        has_lost_contact = (
+            now - self._leader_contact_at > self._group_settings.lost_contact_s
+        )
+        if is_member and not has_lost_contact:
             return
-        if now - self._joined_at < self._group_settings.join_retry_s:
+        if now - self._join_sent_at < self._group_settings.join_retry_s:
             return
-        self._joined_at = now
+        self._join_sent_at = now
         own_address = str(self._settings.internal)
         request = JoinRequest(
             self._settings.name,
@@ -115,7 +117,7 @@
             if address != own_address:
                 self._send(address, request)
 
-    def _view(self, now: float, replica: Replica) -> GroupView:
+    def _group_view(self, now: float, replica: Replica) -> GroupView:
         silence_s, caught_up = {}, set()
         for name, progress in replica.progress.items():
             since = self._member_since.setdefault(name, now)
@@ -124,9 +126,9 @@
                 caught_up.add(name)
         own = replica.identity
         return GroupView(
-            own, replica.members, self._candidates, silence_s, frozenset(caught_up)
+            own, replica.members, self._join_requests, silence_s, frozenset(caught_up)
         )
 
 
-def _describe(members: Members) -> str:
+def _format_members(members: Members) -> str:
     return ",".join(f"{m.replica}:{m.role.value}" for m in members.members)
--- a/berylnotch/daemon/fleet/leader.py
+++ b/berylnotch/daemon/fleet/leader.py
@@ -1,4 +1,4 @@
-"""What the leading controller does beside its log."""
+"""Services of the leading controller other than the replicated log."""
 
 from __future__ import annotations
 
@@ -28,55 +28,59 @@
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
-#: Seconds that routers have to report to a new leader before callers are led by
-#: its roster.
-ROSTER_S = 1.5
+#: Seconds for which a new leader collects reports of routers before it sends its
+#: roster; the roster determines the routers that callers are directed to.
+ROSTER_DELAY_S = 1.5
 
-#: Seconds in which changes of the roster are gathered, for each router. When all start
-#: again, each of them is a change that goes to all the others.
+#: Seconds, multiplied by the number of routers, for which changes of the roster are
+#: collected into one message. When all routers restart, each of them is a change that
+#: is sent to all the others.
 ROSTER_PER_ROUTER_S = 0.0005
 
-#: Term of a group's first leader, before which there was none to give orders.
+#: Term of a group's first leader; no earlier leader can have sent orders.
 FIRST_LEADER_TERM = 2
 
-#: Seconds between two sums of the routers' loads, for each router: with many of them
-#: the messages of control stay within their share of a link.
+#: Seconds between two updates with the sums of the routers' loads, multiplied by the
+#: number of routers, so that control messages stay within their share of a link's
+#: bandwidth in large fleets.
 LOADS_PER_ROUTER_S = 0.002
 
-#: Seconds in which changes of targets are gathered into one message; a small part of
-#: the time in which routers must know of them.
-PUSH_S = 0.01
+#: Seconds for which changes of targets are collected into one message; a small part of
+#: the time limit within which routers must receive them.
+TARGETS_BATCH_S = 0.01
 
-#: Seconds in which pages of the first list are gathered, for each router: the leader
-#: sends about 1,000 messages with them a second at the most.
+#: Seconds, multiplied by the number of routers, for which pages of a new leader's first
+#: target list are collected into one message: limits the leader to about 1,000 such
+#: messages per second.
 PAGES_PER_ROUTER_S = 0.001
 
-#: Seconds in which notes of prompts are gathered, for each router: the leader sends
-#: about 1,400 messages with them a second at the most.
+#: Seconds, multiplied by the number of routers, for which prompt notes are collected
+#: into one message: limits the leader to about 1,400 such messages per second.
 PROMPTS_PER_ROUTER_S = 0.0007
 
-#: Shortest time in which they are gathered, in seconds: some times that of a hop.
+#: Shortest time in seconds for which prompt notes are collected: several times the
+#: latency of a network hop.
 MIN_PROMPTS_S = 0.01
 
-#: Shortest and longest time between two sums, in seconds.
+#: Shortest and longest interval between two updates of the load sums, in seconds.
 MIN_LOADS_S, MAX_LOADS_S = 0.1, 0.5
 
 
 class Leader:
-    """Services of one term of leadership.
+    """Services that a controller runs during one term of leadership.
 
     Parameters
     ----------
     settings : FleetSettings
         Settings of the process.
     loop : Loop
-        Loop in which everything runs.
+        Event loop that runs all callbacks.
     host : ReplicaHost
-        The log.
+        Replica that commits commands and tells whether it has the lease.
     state : FleetState
         Replicated state.
-    names : WeightsNames
-        When weights were named.
+    weight_versions : WeightsNames
+        Versions of weights that operators named, with the times.
     log : EventLog
         Log of the process.
     """
@@ -87,14 +91,14 @@
         loop: Loop,
         host: ReplicaHost,
         state: FleetState,
-        names: WeightsNames,
+        weight_versions: WeightsNames,
         log: EventLog,
     ) -> None:
         self._settings = settings
         self._loop = loop
         self._host = host
         self._state = state
-        self._names = names
+        self._weight_versions = weight_versions
         self._log = log
         self._board = TargetBoard()
         self._roster_pushes = Gathering(
@@ -108,21 +112,23 @@
             self._push_notes,
             lambda: max(MIN_PROMPTS_S, PROMPTS_PER_ROUTER_S * self.registry.count),
         )
-        self._target_pushes = Gathering(loop, self._push_targets_now, lambda: PUSH_S)
+        self._target_pushes = Gathering(
+            loop, self._push_targets_now, lambda: TARGETS_BATCH_S
+        )
         self._page_pushes = Gathering(
             loop,
             self._push_pages,
-            lambda: max(PUSH_S, PAGES_PER_ROUTER_S * self.registry.count),
+            lambda: max(TARGETS_BATCH_S, PAGES_PER_ROUTER_S * self.registry.count),
         )
-        #: Targets of pages of the first list that were not sent yet.
-        self._unsent: list[ListedTarget] = []
-        self._notes = NoteFilter(self._cache_tokens)
-        self._cache_sizes: dict[str, int] = {}
+        #: Targets from pages of the first list that are not sent yet.
+        self._unsent_page_targets: list[ListedTarget] = []
+        self._note_filter = NoteFilter(self._cache_capacity)
+        self._service_cache_tokens: dict[str, int] = {}
         self._quota = QuotaOwner(FLEET_QUOTA, host.term, boot_time())
         self._limits = {}
         self._limits_version = 0
         self._is_closed = False
-        self._right = OrderRight(
+        self._order_right = OrderRight(
             settings,
             loop,
             state,
@@ -134,8 +140,8 @@
         self._rollout = WeightsRollout(
             loop,
             self._board,
-            names,
-            self._right,
+            weight_versions,
+            self._order_right,
             host.is_active,
             self.registry.requests,
             self.registry.long_requests,
@@ -146,71 +152,71 @@
             self.push_targets,
             log,
         )
-        self._stores = StoreWatch(loop, self.push_targets, log)
-        self._watch: TargetWatch | None = None
+        self._store_watch = StoreWatch(loop, self.push_targets, log)
+        self._target_watch: TargetWatch | None = None
         if settings.target_list is not None:
-            self._watch = TargetWatch(
+            self._target_watch = TargetWatch(
                 loop,
                 settings.target_list,
                 settings.target_list_period_s,
                 settings.target_list_rate,
-                self._take_page,
-                self._take_list,
+                self._on_page,
+                self._on_list,
                 log,
             )
 
     @property
     def notes_dropped(self) -> int:
-        """Notes of prompts that were not passed on to the routers."""
-        return self._notes.dropped
+        """Number of prompt notes that were not forwarded to the routers."""
+        return self._note_filter.dropped
 
     @property
     def board(self) -> TargetBoard:
-        """All targets."""
+        """Targets of the newest list, with their loads of weights."""
         return self._board
 
     def start(self) -> None:
-        """Begin to lead."""
-        if self._watch is not None:
-            self._watch.start()
-        self._loop.call_later(ROSTER_S, self._complete_roster)
+        """Start the services of the leader."""
+        if self._target_watch is not None:
+            self._target_watch.start()
+        self._loop.call_later(ROSTER_DELAY_S, self._complete_roster)
         self._loop.call_later(MIN_LOADS_S, self._push_loads)
 
     def close(self) -> None:
-        """Stop leading."""
+        """Stop the services of the leader."""
         self._is_closed = True
         self._roster_pushes.close()
         self._prompt_pushes.close()
         self._target_pushes.close()
         self._page_pushes.close()
-        self._right.close()
+        self._order_right.close()
         self._rollout.close()
-        self._stores.close()
-        if self._watch is not None:
-            self._watch.close()
+        self._store_watch.close()
+        if self._target_watch is not None:
+            self._target_watch.close()
 
-    def applied(self) -> None:
-        """Act on a changed state."""
+    def on_applied(self) -> None:
+        """Derive limits and updates from the newly applied state."""
         if self._state.version != self._limits_version:
             self._limits_version = self._state.version
             configuration = decode_configuration(self._state.content)
             self._limits = effective_limits(
                 configuration.organisations or (), self._settings.bounds
             )
-            self._cache_sizes = {
+            self._service_cache_tokens = {
                 s.name: s.engine.cache_tokens
                 for s in configuration.services
                 if s.engine
             }
             stores = {s.store_address for s in configuration.services}
-            self._stores.watch(stores - {""})
+            self._store_watch.watch(stores - {""})
         self.registry.push_configuration()
         self.push_targets()
         self._rollout.advance()
 
-    def take_report(self, link: Link, report: RouterReport) -> None:
-        """Take a router's report."""
-        self.registry.take(link, report)
+    def on_report(self, link: Link, report: RouterReport) -> None:
+        """Process a router's report."""
+        self.registry.on_report(link, report)
         if report.leaving and self._board.said_leaving(report.name, report.leaving):
             self._log.info(
                 "targets_said_leaving",
@@ -223,53 +229,60 @@
 
     def _push_notes(self) -> None:
         notes = self.registry.take_notes()
-        self.registry.push_notes(self._notes.take(boot_time(), notes))
+        self.registry.push_notes(self._note_filter.select_notes(boot_time(), notes))
 
-    def _cache_tokens(self, holder: str) -> int | None:
-        """Return the tokens that a holder's memory has room for; None for a store."""
+    def _cache_capacity(self, holder: str) -> int | None:
+        """Return the cache capacity of an engine in tokens; None for a store."""
         if is_store(holder):
             return None
         target = self._board.target(holder)
-        return self._cache_sizes.get(target.service, 0) if target is not None else 0
+        return (
+            self._service_cache_tokens.get(target.service, 0)
+            if target is not None
+            else 0
+        )
 
-    def grant(self, link: Link, request: GrantRequest) -> None:
-        """Answer a router's request for tokens."""
+    def answer_grant_request(self, link: Link, request: GrantRequest) -> None:
+        """Answer a router's request for quota tokens."""
         link.send(self._quota.grant(boot_time(), request, self._limits))
 
     def push_targets(self) -> None:
-        """Send changed targets to the routers soon."""
+        """Send changed targets to the routers with the next batch."""
         self._target_pushes.soon()
 
     def _push_targets_now(self) -> None:
         if self._board.listed_at is not None:
-            self.registry.push_targets(self._update(self._board.entries()))
+            self.registry.push_targets(self._targets_update(self._board.entries()))
 
     def _push_pages(self) -> None:
-        targets, self._unsent = self._unsent, []
+        targets, self._unsent_page_targets = self._unsent_page_targets, []
         entries = tuple(TargetEntry(target, is_loading=False) for target in targets)
-        self.registry.push_pages(evolve(self._update(entries), is_whole=False))
+        self.registry.push_pages(evolve(self._targets_update(entries), is_whole=False))
+
+    def _targets_update(self, entries: tuple[TargetEntry, ...]) -> TargetsUpdate:
+        weight_versions = self._weight_versions.export(boot_time())
+        return TargetsUpdate(entries, weight_versions, self._store_watch.down)
 
-    def _update(self, entries: tuple[TargetEntry, ...]) -> TargetsUpdate:
-        names = self._names.export(boot_time())
-        return TargetsUpdate(entries, names, self._stores.down)
+    def _on_page(self, targets: tuple[ListedTarget, ...]) -> None:
+        """Forward a page of the first target list that this leader reads.
 
-    def _take_page(self, targets: tuple[ListedTarget, ...]) -> None:
-        """Pass on a page of the first list: after a power loss routers have none."""
+        After a power loss, routers know no targets until a page arrives.
+        """
         if self._board.listed_at is None and self._host.is_active():
-            self._unsent += targets
+            self._unsent_page_targets += targets
             self._page_pushes.soon()
 
-    def _take_list(self, targets: tuple[ListedTarget, ...]) -> None:
+    def _on_list(self, targets: tuple[ListedTarget, ...]) -> None:
         if self._is_closed or not self._host.is_active():
             return
         is_first = self._board.listed_at is None
-        before = {t.target_id: t for t in self._board.targets()}
+        previous = {t.target_id: t for t in self._board.targets()}
         self._page_pushes.close()
         self._board.listed(boot_time(), targets)
         for target in self._board.targets():
-            old = before.pop(target.target_id, None)
+            old = previous.pop(target.target_id, None)
             if old is not None and old.born_ms != target.born_ms:
-                self._notes.forget_engine(target.target_id)
+                self._note_filter.forget_engine(target.target_id)
             if old is None or old.is_leaving != target.is_leaving:
                 self._log.info(
                     "target_listed",
@@ -278,8 +291,8 @@
                     at=target.address,
                     is_leaving=target.is_leaving,
                 )
-        for target_id in before:
-            self._notes.forget_engine(target_id)
+        for target_id in previous:
+            self._note_filter.forget_engine(target_id)
             self._log.info("target_gone", target=target_id)
         if is_first and self._host.term > FIRST_LEADER_TERM:
             self._rollout.survey()
@@ -293,8 +306,8 @@
     def _push_loads(self) -> None:
         if self._is_closed:
             return
-        pause_s = LOADS_PER_ROUTER_S * self.registry.count
-        pause_s = min(MAX_LOADS_S, max(MIN_LOADS_S, pause_s))
-        self._loop.call_later(pause_s, self._push_loads)
+        interval_s = LOADS_PER_ROUTER_S * self.registry.count
+        interval_s = min(MAX_LOADS_S, max(MIN_LOADS_S, interval_s))
+        self._loop.call_later(interval_s, self._push_loads)
         self.registry.push_loads()
         self._rollout.advance()
--- a/berylnotch/daemon/fleet/metrics.py
+++ b/berylnotch/daemon/fleet/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process over HTTP."""
+"""HTTP server for the metrics of a process."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class MetricsServer:
-    """Answers each request with all metrics.
+    """HTTP server that answers each request with all metrics.
 
     Parameters
     ----------
     loop : Loop
-        Loop that serves the socket.
+        Event loop that serves the socket.
     address : Address
-        Where to listen.
+        Listen address.
     metrics : Metrics
-        What is served.
-    measure : callable
-        Sets the gauges before each answer.
+        Metrics of the process.
+    update_gauges : callable
+        Updates the gauges before each answer.
     """
 
     def __init__(
@@ -31,14 +31,14 @@
         loop: Loop,
         address: Address,
         metrics: Metrics,
-        measure: Callable[[], None],
+        update_gauges: Callable[[], None],
     ) -> None:
         self._metrics = metrics
-        self._measure = measure
+        self._update_gauges = update_gauges
         self._server = HttpServer(loop, address, self._serve)
 
     def start(self) -> None:
-        """Serve."""
+        """Start to serve."""
         self._server.start()
 
     def close(self) -> None:
@@ -46,6 +46,6 @@
         self._server.close()
 
     def _serve(self, connection: ServerConnection, _request: HttpRequest) -> None:
-        self._measure()
+        self._update_gauges()
         headers = Headers((("Content-Type", "text/plain; version=0.0.4"),))
         connection.respond(200, headers, self._metrics.render().encode())
--- a/berylnotch/daemon/fleet/notes.py
+++ b/berylnotch/daemon/fleet/notes.py
@@ -1,4 +1,4 @@
-"""Which notes of prompts the leader passes on to all routers."""
+"""Rate limit for the prompt notes that the leader forwards to all routers."""
 
 from __future__ import annotations
 
@@ -9,88 +9,94 @@
 from berylnotch.group.messages import PromptNote
 from berylnotch.placement.mirror import Holding, PromptMemory
 
-#: Notes a second that are passed on. A note is 13 bytes; so many take a third of the
-#: 6 KB/s that a router may spend on control.
+#: Rate limit of forwarded notes, in notes per second. A note has 13 bytes, so the notes
+#: use a third of the 6 KB/s of control traffic that a router may receive.
 NOTES_PER_S = 150.0
 
-#: Notes that may be passed on at once, after seconds with few.
-NOTES_AT_ONCE = 150.0
+#: Burst size of the rate limit, in notes: the capacity of its token bucket.
+NOTES_BURST = 150.0
 
-#: Parts of these that are kept: for what routers do not believe already, and of that
-#: for ends of readings, after which a prompt is there until it is displaced.
-NEWS_PART = 0.5
-ENDS_PART = 0.25
+#: Shares of the burst that are reserved: the first for notes of prefixes that routers
+#: do not know to be cached, and within it the second for notes of finished prefills. A
+#: prefix stays cached after its prefill until it is evicted.
+NEW_NOTES_RESERVE = 0.5
+READY_NOTES_RESERVE = 0.25
 
 
 class NoteFilter:
-    """Bounds the notes that every router gets, and prefers what it does not know.
+    """Limits the rate of forwarded prompt notes; prefers notes of unknown prefixes.
 
-    It answers this load: thousands of long prompts a second, most of which an engine
-    holds already. Who knows that an engine holds a prompt learns nothing from the
-    next reading there; only its place among the least recently used ones changes, and
-    what the rest of the prompt takes of the memory, which goes with a later note.
+    The load that it is designed for is thousands of long prompts per second, most of
+    whose prefixes an engine has cached already. A router that knows of a cached prefix
+    learns little from the note of another cache hit there: the prefix moves in the
+    least-recently-used order, and the rest of the prompt occupies cache memory. The
+    tokens of that rest are added to a later note of the same engine.
 
     Parameters
     ----------
     capacity_of : callable
-        Returns the tokens that a holder's memory has room for; None for a store.
+        Returns the cache capacity of an engine in tokens; None for a store.
     """
 
     def __init__(self, capacity_of: Callable[[str], int | None]) -> None:
         self._capacity_of = capacity_of
-        #: What routers believe that go by the notes which were passed on.
-        self._told = PromptMemory()
-        #: Own tokens of the notes that were not passed on, by engine.
-        self._untold: dict[str, int] = {}
-        self._left = NOTES_AT_ONCE
-        self._at: float | None = None
+        #: Cache contents that routers infer from the forwarded notes.
+        self._known_by_routers = PromptMemory()
+        #: Own tokens of the dropped notes since the last forwarded one, by engine.
+        self._dropped_tokens: dict[str, int] = {}
+        self._bucket_level = NOTES_BURST
+        self._refilled_at: float | None = None
         self._dropped = 0
 
     @property
     def dropped(self) -> int:
-        """Notes that were not passed on."""
+        """Number of notes that were not forwarded."""
         return self._dropped
 
-    def take(self, now: float, notes: Iterable[PromptNote]) -> tuple[PromptNote, ...]:
-        """Return the notes to pass on now."""
+    def select_notes(
+        self, now: float, notes: Iterable[PromptNote]
+    ) -> tuple[PromptNote, ...]:
+        """Return the notes to forward now, and drop the others."""
         self._refill(now)
-        passed = (self._pass(now, note) for note in notes)
-        return tuple(note for note in passed if note is not None)
+        forwarded = (self._forward(now, note) for note in notes)
+        return tuple(note for note in forwarded if note is not None)
 
     def forget_engine(self, target_id: str) -> None:
-        """Forget what an engine held, as routers do."""
-        self._told.forget_engine(target_id)
-        self._untold.pop(target_id, None)
+        """Discard the cache contents inferred for an engine, as routers do."""
+        self._known_by_routers.forget_engine(target_id)
+        self._dropped_tokens.pop(target_id, None)
 
-    def _pass(self, now: float, note: PromptNote) -> PromptNote | None:
-        """Return the note to pass on, None to leave it out."""
+    def _forward(self, now: float, note: PromptNote) -> PromptNote | None:
+        """Return the note to forward, or None if it is dropped."""
         capacity = self._capacity_of(note.holder)
-        needed = 1.0 + self._kept_part(now, note, capacity) * NOTES_AT_ONCE
-        if self._left < needed:
+        needed = 1.0 + self._reserved_share(now, note, capacity) * NOTES_BURST
+        if self._bucket_level < needed:
             self._dropped += 1
-            self._untold[note.holder] = (
-                self._untold.get(note.holder, 0) + note.own_tokens
+            self._dropped_tokens[note.holder] = (
+                self._dropped_tokens.get(note.holder, 0) + note.own_tokens
             )
             return None
-        self._left -= 1
-        untold = self._untold.pop(note.holder, 0)
-        if untold:
-            note = evolve(note, own_tokens=note.own_tokens + untold)
-        self._told.hear(now, note, capacity)
+        self._bucket_level -= 1
+        dropped_tokens = self._dropped_tokens.pop(note.holder, 0)
+        if dropped_tokens:
+            note = evolve(note, own_tokens=note.own_tokens + dropped_tokens)
+        self._known_by_routers.hear(now, note, capacity)
         return note
 
-    def _kept_part(self, now: float, note: PromptNote, capacity: int | None) -> float:
-        """Return the part of the notes at once that is kept for others than this."""
+    def _reserved_share(
+        self, now: float, note: PromptNote, capacity: int | None
+    ) -> float:
+        """Return the share of the burst that this note must leave to other notes."""
         if capacity is None:
-            is_known = self._told.is_saved(now, note.holder, note.prompt)
-            return NEWS_PART if is_known else ENDS_PART
-        holding = self._told.holding(now, note.holder, note.prompt)
+            is_known = self._known_by_routers.is_saved(now, note.holder, note.prompt)
+            return NEW_NOTES_RESERVE if is_known else READY_NOTES_RESERVE
+        holding = self._known_by_routers.holding(now, note.holder, note.prompt)
         if note.is_ready:
-            return NEWS_PART if holding is Holding.READY else 0.0
-        return ENDS_PART if holding is Holding.NONE else NEWS_PART
+            return NEW_NOTES_RESERVE if holding is Holding.READY else 0.0
+        return READY_NOTES_RESERVE if holding is Holding.NONE else NEW_NOTES_RESERVE
 
     def _refill(self, now: float) -> None:
-        if self._at is not None:
-            refilled = self._left + (now - self._at) * NOTES_PER_S
-            self._left = min(NOTES_AT_ONCE, refilled)
-        self._at = now
+        if self._refilled_at is not None:
+            refilled = self._bucket_level + (now - self._refilled_at) * NOTES_PER_S
+            self._bucket_level = min(NOTES_BURST, refilled)
+        self._refilled_at = now
--- a/berylnotch/daemon/fleet/operators.py
+++ b/berylnotch/daemon/fleet/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface of a controller."""
+"""HTTP interface of a controller for operators."""
 
 from __future__ import annotations
 
@@ -25,32 +25,32 @@
 from berylnotch.util.loop import Loop
 from berylnotch.util.metrics import Label, Metrics
 
-#: What an operator may send; a configuration of thousands of routes fits.
+#: Limits on operators' requests; a configuration of thousands of routes fits.
 LIMITS = HttpLimits(body_bytes=4 * 1024 * 1024, idle_s=30.0)
 
 _JSON = ("Content-Type", "application/json")
 
 
 class OperatorsInterface:
-    """Takes configurations and names of weights, and reads them back.
+    """HTTP server for configurations and for the versions of weights to roll out.
 
-    Only the leader answers, since only it knows what is newest; the others send
-    callers on to it.
+    Only the leader answers, since only it is sure to have the newest state; the other
+    controllers redirect operators to it.
 
     Parameters
     ----------
     settings : FleetSettings
         Settings of the process.
     loop : Loop
-        Loop in which everything runs.
+        Event loop that runs all callbacks.
     host : ReplicaHost
-        The log.
+        Replica that commits commands and tells whether it has the lease.
     state : FleetState
         Replicated state.
     log : EventLog
         Log of the process.
     metrics : Metrics
-        Counts of calls.
+        Registry of metrics that counts the calls.
     """
 
     def __init__(
@@ -68,18 +68,18 @@
         self._log = log
         self._metrics = metrics
         self._server = HttpServer(
-            loop, settings.listen, self._serve, lambda: LIMITS, self._refused
+            loop, settings.listen, self._serve, lambda: LIMITS, self._on_refused
         )
 
     def start(self) -> None:
-        """Serve."""
+        """Start to serve."""
         self._server.start()
 
     def close(self) -> None:
         """Stop serving."""
         self._server.close()
 
-    def _refused(self, status: int, reason: str) -> None:
+    def _on_refused(self, status: int, reason: str) -> None:
         self._log.warning("operator_refused", status=status, reason=reason)
 
     def _serve(self, connection: ServerConnection, request: HttpRequest) -> None:
@@ -87,7 +87,7 @@
         if call is OperatorCall.UNKNOWN:
             self._answer(connection, request, 404, "no such call")
         elif not self._host.is_active():
-            self._send_on(connection, request)
+            self._redirect_to_leader(connection, request)
         elif call is OperatorCall.PUT_CONFIGURATION:
             self._put_configuration(connection, request)
         elif call is OperatorCall.GET_CONFIGURATION:
@@ -95,7 +95,9 @@
         else:
             self._name_weights(connection, request)
 
-    def _send_on(self, connection: ServerConnection, request: HttpRequest) -> None:
+    def _redirect_to_leader(
+        self, connection: ServerConnection, request: HttpRequest
+    ) -> None:
         leader = self._host.leader_address
         if not leader or leader == self._host.address:
             self._answer(connection, request, 503, "no leader is known")
@@ -103,7 +105,7 @@
         address = Address(parse_address(leader).host, self._settings.listen.port)
         location = f"http://{address}{request.target}"
         headers = Headers((("Location", location),))
-        self._note(request, 307, f"leader is {address}")
+        self._record_call(request, 307, f"leader is {address}")
         connection.respond(307, headers)
 
     def _put_configuration(
@@ -116,8 +118,10 @@
             return
         version = configuration.version
         if version <= self._state.version:
-            held = self._state.version
-            self._answer(connection, request, 200, f"{version} is not above {held}")
+            held_version = self._state.version
+            self._answer(
+                connection, request, 200, f"{version} is not above {held_version}"
+            )
             return
         command = pack(PutConfiguration(version, request.body))
         self._commit(connection, request, command, f"version {version}")
@@ -139,18 +143,22 @@
         connection: ServerConnection,
         request: HttpRequest,
         command: bytes,
-        what: str,
+        description: str,
     ) -> None:
         started_at = boot_time()
 
-        def done(is_committed: bool) -> None:
+        def on_outcome(is_committed: bool) -> None:
             took_s = boot_time() - started_at
             if is_committed:
-                self._answer(connection, request, 200, f"{what} after {took_s:.3f} s")
+                self._answer(
+                    connection, request, 200, f"{description} after {took_s:.3f} s"
+                )
             else:
-                self._answer(connection, request, 503, f"{what}: outcome unknown")
+                self._answer(
+                    connection, request, 503, f"{description}: outcome unknown"
+                )
 
-        self._host.propose(command, done)
+        self._host.propose(command, on_outcome)
 
     def _get_configuration(
         self, connection: ServerConnection, request: HttpRequest
@@ -158,7 +166,7 @@
         if not self._state.version:
             self._answer(connection, request, 503, "no configuration yet")
             return
-        self._note(request, 200, f"version {self._state.version}")
+        self._record_call(request, 200, f"version {self._state.version}")
         connection.respond(200, Headers((_JSON,)), self._state.content)
 
     def _answer(
@@ -168,13 +176,13 @@
         status: int,
         reason: str,
     ) -> None:
-        self._note(request, status, reason)
+        self._record_call(request, status, reason)
         body = b"{}" if status == 200 else error_body(reason)
         connection.respond(status, Headers((_JSON,)), body)
 
-    def _note(self, request: HttpRequest, status: int, reason: str) -> None:
-        write = self._log.info if status < 400 else self._log.warning
-        write(
+    def _record_call(self, request: HttpRequest, status: int, reason: str) -> None:
+        log_call = self._log.info if status < 400 else self._log.warning
+        log_call(
             "operator_call",
             call=f"{request.method} {request.path}",
             status=status,
--- a/berylnotch/daemon/fleet/order_right.py
+++ b/berylnotch/daemon/fleet/order_right.py
@@ -1,4 +1,4 @@
-"""The leader's right to give orders to engines, which one controller has at a time."""
+"""Lease for sending orders to engines, which one controller holds at a time."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
-#: Seconds beyond the lease of orders that a new leader waits; timers may be late.
+#: Margin in seconds that is added to the order lease, since timers may fire late.
 ORDER_MARGIN_S = 0.3
 
-#: Pause in seconds before a leader asks again to take over the orders.
-TAKE_RETRY_S = 0.5
+#: Back-off in seconds before the leader proposes again to acquire the order lease.
+ACQUIRE_RETRY_S = 0.5
 
-#: Commits a command and tells whether it was committed.
+#: Proposes a command; the callback gets whether it was committed.
 Propose = Callable[[bytes, Callable[[bool], None]], None]
 
 
 class OrderRight:
-    """Takes the right when orders are due, and gives it back when they have rested.
+    """Acquires the order lease when orders are due, and releases it after idle time.
 
-    A new leader waits until no order of the controller that has the right can be
-    under way. A right that was given back is waited for by nobody: it was given back
-    after a lease without an order.
+    A new leader waits until no order of the controller that holds the lease can still
+    be running. No wait is needed for a lease that was released, since its holder
+    released it only after a lease duration without orders.
 
     Parameters
     ----------
     settings : FleetSettings
         Settings of the process.
     loop : Loop
-        Loop in which everything runs.
+        Event loop that runs all callbacks.
     state : FleetState
-        Tells who has the right.
+        Replicated state, which names the holder of the order lease.
     propose : callable
-        Commits a command.
+        Proposes a command and reports whether it was committed.
     epoch : int
-        Fencing number of this leader.
-    on_taken : callable
-        Called when this leader has got the right.
+        Fencing token of this leader.
+    on_acquired : callable
+        Called when this leader has acquired the order lease.
     log : EventLog
         Log of the process.
     """
@@ -54,86 +54,90 @@
         state: FleetState,
         propose: Propose,
         epoch: int,
-        on_taken: Callable[[], None],
+        on_acquired: Callable[[], None],
         log: EventLog,
     ) -> None:
         self._name = settings.name
-        self._rest_s = settings.bounds.order_lease_s + ORDER_MARGIN_S
+        self._lease_with_margin_s = settings.bounds.order_lease_s + ORDER_MARGIN_S
         self._loop = loop
         self._state = state
         self._propose = propose
         self._epoch = epoch
-        self._on_taken = on_taken
+        self._on_acquired = on_acquired
         self._log = log
         self._started_at = boot_time()
         self._is_held = False
-        self._is_asked = False
+        self._is_requested = False
         self._is_closed = False
-        self._under_way = 0
-        self._rested_since = 0.0
+        self._orders_running = 0
+        self._idle_since = 0.0
 
     @property
     def is_held(self) -> bool:
-        """Whether this leader may give orders, as long as it leads."""
+        """Whether this leader may send orders, as long as it leads."""
         return self._is_held and not self._is_closed
 
     def close(self) -> None:
-        """Give no further order; the next leader waits."""
+        """Send no further orders; the lease is not released, so a new leader waits."""
         self._is_closed = True
 
     def ask(self) -> None:
-        """Take the right as soon as that is safe."""
-        if self._is_held or self._is_asked or self._is_closed:
+        """Acquire the order lease as soon as no earlier order can be running."""
+        if self._is_held or self._is_requested or self._is_closed:
             return
-        self._is_asked = True
+        self._is_requested = True
         wait_s = 0.0
         if self._state.order_holder not in ("", self._name):
-            wait_s = max(0.0, self._started_at + self._rest_s - boot_time())
+            wait_s = max(
+                0.0, self._started_at + self._lease_with_margin_s - boot_time()
+            )
         if wait_s:
             self._log.info(
                 "orders_awaited", holder=self._state.order_holder, wait_s=wait_s
             )
-            self._loop.call_later(wait_s, self._take)
+            self._loop.call_later(wait_s, self._acquire)
         else:
-            self._take()
+            self._acquire()
 
     def began(self) -> None:
-        """Note that an order may be sent from now on."""
-        self._under_way += 1
+        """Record that an order may be sent from now on."""
+        self._orders_running += 1
 
     def ended(self) -> None:
-        """Note that what the order was for has ended, so none is under way."""
-        self._under_way -= 1
-        self._rest()
+        """Record that the operation of an order has ended, so it is not running."""
+        self._orders_running -= 1
+        self._restart_idle_timer()
 
-    def _take(self) -> None:
+    def _acquire(self) -> None:
         if not self._is_closed:
-            self._propose(pack(TakeOrders(self._name)), self._taken)
+            self._propose(pack(TakeOrders(self._name)), self._on_acquire_outcome)
 
-    def _taken(self, is_committed: bool) -> None:
+    def _on_acquire_outcome(self, is_committed: bool) -> None:
         if self._is_closed:
             return
         self._log.info("orders_taken", committed=is_committed, epoch=self._epoch)
         if not is_committed:
-            self._loop.call_later(TAKE_RETRY_S, self._take)
+            self._loop.call_later(ACQUIRE_RETRY_S, self._acquire)
             return
-        self._is_held, self._is_asked = True, False
-        self._rest()
-        self._on_taken()
-
-    def _rest(self) -> None:
-        """Count the time without orders from now on."""
-        self._rested_since = boot_time()
-        since = self._rested_since
-        self._loop.call_later(self._rest_s, lambda: self._give_back(since))
-
-    def _give_back(self, since: float) -> None:
-        is_idle = self._under_way == 0 and self._rested_since == since
+        self._is_held, self._is_requested = True, False
+        self._restart_idle_timer()
+        self._on_acquired()
+
+    def _restart_idle_timer(self) -> None:
+        """Restart the timer that releases the lease after idle time."""
+        self._idle_since = boot_time()
+        since = self._idle_since
+        self._loop.call_later(
+            self._lease_with_margin_s, lambda: self._release_if_idle(since)
+        )
+
+    def _release_if_idle(self, since: float) -> None:
+        is_idle = self._orders_running == 0 and self._idle_since == since
         if not is_idle or not self.is_held:
             return
-        # Before the command can be committed, so that no order follows it.
+        # Cleared before the command can be committed, so that no order follows it.
         self._is_held = False
-        self._propose(pack(GiveBackOrders(self._name)), self._gave_back)
+        self._propose(pack(GiveBackOrders(self._name)), self._on_released)
 
-    def _gave_back(self, is_committed: bool) -> None:
+    def _on_released(self, is_committed: bool) -> None:
         self._log.info("orders_given_back", committed=is_committed, epoch=self._epoch)
--- a/berylnotch/daemon/fleet/peers.py
+++ b/berylnotch/daemon/fleet/peers.py
@@ -1,4 +1,4 @@
-"""Outgoing links to other processes, opened when there is something to send."""
+"""Outgoing links to other processes, opened on demand."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class PeerLinks:
-    """Links by address; a message that cannot be sent is dropped.
+    """Outgoing links by address; a message that cannot be sent is dropped.
 
-    The protocols above send again what matters.
+    The protocols that use the links retransmit their messages where delivery matters.
 
     Parameters
     ----------
     loop : Loop
-        Loop that serves the links.
+        Event loop that serves the links.
     classes : tuple of type
-        Messages that are taken.
+        Message classes that are accepted.
     handler : callable
-        Gets each message.
+        Receives each message.
     log : EventLog
         Log of the process.
     settings : LinkSettings
-        Timing.
+        Time-outs and back-off of the links.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         self._retry_at: dict[str, float] = {}
 
     def send(self, address: str, message: object) -> None:
-        """Send a message, after opening a link if there is none."""
+        """Send a message; opens a link first if there is none."""
         link = self._links.get(address) or self._open(address)
         if link is not None:
             link.send(message)
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         for link in tuple(self._links.values()):
             link.close()
 
--- a/berylnotch/daemon/fleet/registry.py
+++ b/berylnotch/daemon/fleet/registry.py
@@ -1,4 +1,4 @@
-"""Routers that report to the leader, and what is pushed to them."""
+"""Registry of the routers that report to the leader, and the updates sent to them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from attrs import define, evolve
 
-from berylnotch.daemon.fleet.feed import Change, Feed
+from berylnotch.daemon.fleet.feed import Change, DeltaTable
 from berylnotch.group.columns import TargetNumbers, load_columns, note_records
 from berylnotch.group.messages import (
     ConfigurationUpdate,
@@ -26,16 +26,16 @@
 from berylnotch.transport.packing import pack
 from berylnotch.util.lines import EventLog
 
-#: Routers that must have left a target out before all others avoid it.
-SUSPECT_ROUTERS = 2
+#: Routers that must have ejected a target before all others avoid it.
+MIN_EJECTING_ROUTERS = 2
 
-#: Crash marks that are remembered; the oldest are forgotten first.
+#: Crash marks that are kept; the oldest are discarded first.
 MAX_CRASH_MARKS = 512
 
 
 @define
 class _Router:
-    """A router as its newest report tells."""
+    """Link and newest report of a router, and the configuration version sent to it."""
 
     link: Link
     report: RouterReport
@@ -43,53 +43,53 @@
 
 
 class RouterRegistry:
-    """Routers with an open link to this leader.
+    """Registry of the routers with an open link to this leader.
 
     Parameters
     ----------
     state : FleetState
-        Configuration in force.
+        Replicated state with the current configuration.
     log : EventLog
         Log of the process.
-    roster_changed : callable, optional
-        Called when `push_roster` has something to send; by default it is sent at once.
+    on_roster_changed : callable, optional
+        Called when `push_roster` has changes to send; by default they are sent at once.
     """
 
     def __init__(
         self,
         state: FleetState,
         log: EventLog,
-        roster_changed: Callable[[], None] | None = None,
+        on_roster_changed: Callable[[], None] | None = None,
     ) -> None:
         self._state = state
         self._log = log
-        self._roster_changed = roster_changed or self.push_roster
+        self._on_roster_changed = on_roster_changed or self.push_roster
         self._routers: dict[str, _Router] = {}
         self._targets: TargetsUpdate | None = None
-        #: Packed pages of the first list, while it is being read.
+        #: Packed pages of the first target list, until all of it has been read.
         self._first_pages: list[bytes] = []
         self._packed_targets = b""
         self._packed_configuration = b""
         self._packed_version = 0
         self._packed_roster = b""
-        self._numbers = TargetNumbers()
-        self._target_feed = Feed()
-        self._roster_feed = Feed()
+        self._target_numbers = TargetNumbers()
+        self._target_table = DeltaTable()
+        self._roster_table = DeltaTable()
         self._is_roster_complete = False
-        self._loads = LoadsUpdate(())
+        self._load_sums = LoadsUpdate(())
         self._long_requests: Counter[str] = Counter()
-        #: Whether routers added the loads of notes to the newest sums.
+        #: Whether routers added the loads of prompt notes to the newest sums.
         self._has_added_loads = False
-        self._crashes: dict[CrashMark, None] = {}
-        self._notes: list[PromptNote] = []
+        self._crash_marks: dict[CrashMark, None] = {}
+        self._pending_notes: list[PromptNote] = []
 
     @property
     def count(self) -> int:
-        """Routers that report."""
+        """Number of routers that report."""
         return len(self._routers)
 
-    def take(self, link: Link, report: RouterReport) -> None:
-        """Take a report; bring its router up to date."""
+    def on_report(self, link: Link, report: RouterReport) -> None:
+        """Store a report, and send its router the state that it lacks."""
         key = report.address
         router = self._routers.get(key)
         is_new = router is None or router.link is not link
@@ -106,73 +106,74 @@
         router.report = report
         self._send_configuration(router)
         if is_new:
-            self._welcome(router)
+            self._send_initial_state(router)
         if is_new or was_leaving != report.is_leaving:
-            self._roster_changed()
-        self._take_crashes(report)
-        self._notes.extend(report.prompts)
+            self._on_roster_changed()
+        self._add_crash_marks(report)
+        self._pending_notes.extend(report.prompts)
 
-    def lost(self, link: Link, reason: str) -> None:
-        """Note that a link has ended."""
+    def on_link_closed(self, link: Link, reason: str) -> None:
+        """Remove the router of a closed link."""
         for key, router in tuple(self._routers.items()):
             if router.link is link:
                 del self._routers[key]
                 self._log.warning("router_lost", router=router.report.name, why=reason)
-                self._roster_changed()
+                self._on_roster_changed()
 
     def push_configuration(self) -> None:
-        """Send the configuration in force to every router that lacks it."""
+        """Send the current configuration to every router that lacks it."""
         for router in self._routers.values():
             self._send_configuration(router)
 
     def push_pages(self, update: TargetsUpdate) -> None:
-        """Send a part of the first list; routers keep what they know beside it.
+        """Send a part of the first target list; routers keep all other targets.
 
-        A reading that failed begins anew, with the same pages.
+        After a failure the list is read again from its first page, so the same pages
+        may come again.
         """
         entries = {e.target.target_id: e for e in update.targets}
-        changed = self._target_feed.add(entries)
+        changed = self._target_table.update(entries)
         if not changed:
             return
-        self._numbers.add(entries)
-        page = pack(self._numbers.told(evolve(update, targets=changed)))
-        # Packed once: hundreds of routers may come while a long list is being read.
+        self._target_numbers.add(entries)
+        page = pack(self._target_numbers.told(evolve(update, targets=changed)))
+        # Packed once: hundreds of routers may connect while a long list is being read.
         self._first_pages.append(page)
         self._send_packed(page)
 
     def push_targets(self, update: TargetsUpdate) -> None:
-        """Send to all routers what changed in the whole update."""
-        known, self._targets = self._targets, update
+        """Send the differences between the previous and this update to all routers."""
+        previous, self._targets = self._targets, update
         self._first_pages = []
-        # Packed when a router comes, with the ages of this update.
+        # Packed again, with the ages of this update, when the next router connects.
         self._packed_targets = b""
         entries = {e.target.target_id: e for e in update.targets}
-        change = self._target_feed.take(entries)
-        self._numbers.keep(entries)
-        if known is None:
-            self._send_all(self._numbers.told(update))
-        elif change is not None or not _is_rest_same(known, update):
+        change = self._target_table.replace(entries)
+        self._target_numbers.keep(entries)
+        if previous is None:
+            self._send_all(self._target_numbers.told(update))
+        elif change is not None or not _has_same_rest(previous, update):
             entries, gone = (change.entries, change.gone) if change else ((), ())
             part = evolve(update, targets=entries, gone=gone, is_whole=False)
-            self._send_all(self._numbers.told(part))
+            self._send_all(self._target_numbers.told(part))
 
     def complete_roster(self) -> None:
-        """Begin to send rosters; all routers had the time to report."""
+        """Start to send rosters, after all routers had time to report."""
         self._is_roster_complete = True
-        self._take_roster()
-        # Routers may still hold the roster of the leader before.
-        self._send_all(RosterUpdate(self._roster_feed.entries))
+        self._update_roster()
+        # Routers may still have the roster of the previous leader.
+        self._send_all(RosterUpdate(self._roster_table.entries))
 
     def push_roster(self) -> None:
-        """Send the routers that take requests to all routers, if they changed."""
+        """Send changes in the set of routers that accept requests to all routers."""
         if not self._is_roster_complete:
             return
-        change = self._take_roster()
+        change = self._update_roster()
         if change is not None:
             self._send_all(RosterUpdate(change.entries, change.gone, is_whole=False))
 
-    def _take_roster(self) -> Change | None:
-        change = self._roster_feed.take(
+    def _update_roster(self) -> Change | None:
+        change = self._roster_table.replace(
             {
                 address: RouterEntry(address, r.report.failure_domain)
                 for address, r in sorted(self._routers.items())
@@ -184,70 +185,74 @@
         return change
 
     def push_loads(self) -> None:
-        """Send the sums of all loads, if they differ from what routers hold."""
+        """Send the sums of all loads, if they differ from those that routers have."""
         requests: Counter[str] = Counter()
         unread: Counter[str] = Counter()
-        long: Counter[str] = Counter()
+        long_requests: Counter[str] = Counter()
         for router in self._routers.values():
             for load in router.report.loads:
                 requests[load.target_id] += load.requests
                 unread[load.target_id] += load.unread
-                long[load.target_id] += load.long
-        self._long_requests = long
+                long_requests[load.target_id] += load.long
+        self._long_requests = long_requests
         update = LoadsUpdate(
             tuple(TargetLoad(t, n, unread[t]) for t, n in sorted(requests.items())),
-            tuple(sorted(self._left_out(SUSPECT_ROUTERS))),
+            tuple(sorted(self._ejected_targets(MIN_EJECTING_ROUTERS))),
         )
-        if update != self._loads or self._has_added_loads:
-            self._loads = update
+        if update != self._load_sums or self._has_added_loads:
+            self._load_sums = update
             self._has_added_loads = False
-            self._send_all(load_columns(update, self._numbers))
+            self._send_all(load_columns(update, self._target_numbers))
 
     def take_notes(self) -> tuple[PromptNote, ...]:
-        """Return the routers' notes of prompts since the last call."""
-        notes, self._notes = tuple(self._notes), []
+        """Return the prompt notes that routers reported since the last call."""
+        notes, self._pending_notes = tuple(self._pending_notes), []
         return notes
 
     def push_notes(self, notes: tuple[PromptNote, ...]) -> None:
-        """Send notes of prompts to all routers."""
+        """Send prompt notes to all routers."""
         if notes:
             self._has_added_loads = True
-            self._send_all(note_records(notes, self._numbers))
+            self._send_all(note_records(notes, self._target_numbers))
 
     def requests(self) -> dict[str, int]:
-        """Return the requests under way at each target, as last summed up."""
-        return {load.target_id: load.requests for load in self._loads.loads}
+        """Return the running requests at each target, from the newest load sums."""
+        return {load.target_id: load.requests for load in self._load_sums.loads}
 
     def long_requests(self, target_id: str) -> int:
-        """Return the requests at a target that take long, as last summed up."""
+        """Return the long-running requests at a target, from the newest load sums."""
         return self._long_requests[target_id]
 
     def unreachable(self) -> frozenset[str]:
-        """Return the targets that routers avoid after failures."""
-        return self._left_out(SUSPECT_ROUTERS)
+        """Return the targets that several routers have ejected after failures."""
+        return self._ejected_targets(MIN_EJECTING_ROUTERS)
 
-    def _left_out(self, routers: int) -> frozenset[str]:
-        """Return the targets that at least so many routers have left out."""
+    def _ejected_targets(self, min_routers: int) -> frozenset[str]:
+        """Return the targets that at least ``min_routers`` routers have ejected."""
         counts: Counter[str] = Counter()
         for router in self._routers.values():
             counts.update(router.report.ejected)
-        return frozenset(t for t, n in counts.items() if n >= routers)
+        return frozenset(t for t, n in counts.items() if n >= min_routers)
 
-    def _welcome(self, router: _Router) -> None:
-        """Tell a router what is known, and at any rate that it found the leader."""
+    def _send_initial_state(self, router: _Router) -> None:
+        """Send the known state to a new router.
+
+        The load sums are sent even if they are empty, so that the router learns that it
+        has found the leader.
+        """
         for page in self._first_pages:
             router.link.send(page)
         if self._targets is not None:
             if not self._packed_targets:
-                self._packed_targets = pack(self._numbers.told(self._targets))
+                self._packed_targets = pack(self._target_numbers.told(self._targets))
             router.link.send(self._packed_targets)
-        router.link.send(load_columns(self._loads, self._numbers))
+        router.link.send(load_columns(self._load_sums, self._target_numbers))
         if self._is_roster_complete:
             if not self._packed_roster:
-                self._packed_roster = pack(RosterUpdate(self._roster_feed.entries))
+                self._packed_roster = pack(RosterUpdate(self._roster_table.entries))
             router.link.send(self._packed_roster)
-        if self._crashes:
-            router.link.send(CrashesUpdate(tuple(self._crashes)))
+        if self._crash_marks:
+            router.link.send(CrashesUpdate(tuple(self._crash_marks)))
 
     def _send_configuration(self, router: _Router) -> None:
         version = self._state.version
@@ -260,20 +265,20 @@
             self._packed_configuration = pack(update)
         router.link.send(self._packed_configuration)
 
-    def _take_crashes(self, report: RouterReport) -> None:
-        new = tuple(mark for mark in report.crashes if mark not in self._crashes)
+    def _add_crash_marks(self, report: RouterReport) -> None:
+        new = tuple(mark for mark in report.crashes if mark not in self._crash_marks)
         if not new:
             return
         for mark in new:
-            self._crashes[mark] = None
+            self._crash_marks[mark] = None
             self._log.warning(
                 "crash_mark",
                 fingerprint=mark.fingerprint.hex(),
                 target=mark.target_id,
                 router=report.name,
             )
-        while len(self._crashes) > MAX_CRASH_MARKS:
-            del self._crashes[next(iter(self._crashes))]
+        while len(self._crash_marks) > MAX_CRASH_MARKS:
+            del self._crash_marks[next(iter(self._crash_marks))]
         self._send_all(CrashesUpdate(new))
 
     def _send_all(self, message: object) -> None:
@@ -284,8 +289,8 @@
             router.link.send(packed)
 
 
-def _is_rest_same(one: TargetsUpdate, other: TargetsUpdate) -> bool:
-    """Tell whether updates differ in targets and ages of weights at the most."""
+def _has_same_rest(one: TargetsUpdate, other: TargetsUpdate) -> bool:
+    """Return whether updates are equal apart from targets and ages of weights."""
     return one.down_stores == other.down_stores and [
         (w.model, w.version) for w in one.weights
     ] == [(w.model, w.version) for w in other.weights]
--- a/tests/fleet/platform.py
+++ b/tests/fleet/platform.py
@@ -1,7 +1,8 @@
-"""Stand-in of the users' platform: list of targets, engines, plain targets.
+"""Stand-in for the users' platform: list of targets, engines, plain targets.
 
-It speaks the platform's protocol on loopback, in a thread of its own, and keeps what
-it saw. Times and sizes are small, so that tests are quick.
+It serves the platform's protocol on the loopback interface, in a thread of its own,
+and records the requests that it gets. Times and sizes are small, so that tests are
+fast.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @define(eq=False)
 class StandInTarget:
-    """A target, its faults and what it ran."""
+    """Target with its injected faults and a record of its requests."""
 
     target_id: str
     service: str
@@ -33,25 +34,25 @@
     load_s: float = 0.05
     is_loading: bool = False
     orders_taken: int = 0
-    #: Requests that ran, by request id.
+    #: Request ids of the requests that ran.
     runs: list[str] = field(factory=list)
     #: Headers of the requests that arrived.
     seen: list[dict[str, str]] = field(factory=list)
     bodies: list[bytes] = field(factory=list)
     orders: list[dict] = field(factory=list)
-    #: How requests are answered: ok, refuse, error, hang, reset, cut, no_stamp,
-    #: foreign.
+    #: Fault that is injected into answers to requests: ok (none), refuse, error, hang,
+    #: reset, cut, no_stamp, foreign.
     mood: str = "ok"
-    #: How calls for copies are answered: ok, no_room, lost (the call is carried out
-    #: and its answer is not sent), gone.
+    #: Fault that is injected into answers to migration calls: ok (none), no_room, lost
+    #: (the call is carried out, but its answer is not sent), gone.
     move_mood: str = "ok"
-    #: Connections of the streams under way, and the next event, by request id.
+    #: Connection and next event number of the running streams, by request id.
     streams: dict[str, list] = field(factory=dict)
-    #: Request and next event of the copies that it holds, by handle.
+    #: Request id and next event number of the KV cache copies held, by handle.
     copies: dict[str, tuple[str, int]] = field(factory=dict)
-    #: Requests that went on here with the memory of their run.
+    #: Request ids of the runs that resumed here from a KV cache copy.
     resumed: list[str] = field(factory=list)
-    #: Address in the list, if it differs from the server's.
+    #: Address in the target list, if it differs from the server's.
     listed_address: str = ""
 
     @property
@@ -59,7 +60,7 @@
         return self.listed_address or str(self.server.address)
 
     def entry(self) -> dict:
-        """Return the target as the list shows it."""
+        """Return the target's entry in the target list."""
         models = []
         if self.version is not None:
             models = [{"name": MODEL, "version": self.version, "adapters": []}]
@@ -78,14 +79,15 @@
 
 
 class PlatformStandIn:
-    """The platform of one test."""
+    """Platform that one test uses."""
 
     def __init__(self) -> None:
         self.loop = Loop("platform")
         self.targets: dict[str, StandInTarget] = {}
         self.foreign_entries: list[object] = []
         self.list_calls = 0
-        #: Targets on a page of the list, and pages that it answers; the others fail.
+        #: Targets per page of the list, and number of pages that can be read; requests
+        #: for later pages fail.
         self.page_size = 50
         self.readable_pages = 1000
         self._list = HttpServer(self.loop, Address("127.0.0.1", 0), self._serve_list)
@@ -105,7 +107,7 @@
     def add(
         self, target_id: str, service: str, version: int | None = None
     ) -> StandInTarget:
-        """Start a target; one with a version is an engine."""
+        """Start a target; a target with a version is an engine."""
         target: StandInTarget
 
         def serve(connection: ServerConnection, request: HttpRequest) -> None:
@@ -118,7 +120,7 @@
         return target
 
     def stop(self, target_id: str) -> None:
-        """Kill a target: its connections are reset and nothing listens."""
+        """Kill a target: its connections are reset, and its port is closed."""
         self.loop.call_soon(self.targets[target_id].server.close)
 
     def _serve_list(self, connection: ServerConnection, request: HttpRequest) -> None:
@@ -130,8 +132,8 @@
             connection.respond(503, Headers())
             return
         first, end = page * self.page_size, (page + 1) * self.page_size
-        following = str(page + 1) if end < len(entries) else None
-        body = {"instances": entries[first:end], "nextToken": following}
+        next_token = str(page + 1) if end < len(entries) else None
+        body = {"instances": entries[first:end], "nextToken": next_token}
         connection.respond(200, Headers(), json.dumps(body).encode())
 
     def _serve_target(
@@ -144,7 +146,7 @@
         elif request.path == "/kv-move":
             self._move(target, connection, request)
         elif request.path.startswith("/kv-handle/"):
-            self._free_copy(request.path.rpartition("/")[2])
+            self._release_copy(request.path.rpartition("/")[2])
             connection.respond(200, Headers(), b"{}")
         elif request.path == "/kv-events":
             body = {"bootEpoch": 1, "nextToken": 0, "lost": False, "events": []}
@@ -174,11 +176,11 @@
         target.orders_taken += 1
         target.is_loading = True
 
-        def loaded() -> None:
+        def on_loaded() -> None:
             target.version = order["version"]
             target.is_loading = False
 
-        self.loop.call_later(target.load_s, loaded)
+        self.loop.call_later(target.load_s, on_loaded)
         connection.respond(202, Headers())
 
     def _move(
@@ -192,11 +194,11 @@
         if stream is None or target.move_mood == "gone":
             connection.respond(404, Headers(), b"{}")
             return
-        refuge = next(t for t in self.targets.values() if t.address == call["to"])
-        handle = f"{call['id']}-{len(target.copies)}-{len(refuge.copies)}"
+        destination = next(t for t in self.targets.values() if t.address == call["to"])
+        handle = f"{call['id']}-{len(target.copies)}-{len(destination.copies)}"
         if call["last"]:
             del target.streams[call["id"]]
-            target.copies[handle] = refuge.copies[handle] = (call["id"], stream[1])
+            target.copies[handle] = destination.copies[handle] = (call["id"], stream[1])
             stream[0].abort()
         body = json.dumps({"handle": handle, "made": stream[1] - 1}).encode()
         if target.move_mood == "lost":
@@ -204,7 +206,7 @@
         else:
             connection.respond(200, Headers(), body)
 
-    def _free_copy(self, handle: str) -> None:
+    def _release_copy(self, handle: str) -> None:
         for target in self.targets.values():
             target.copies.pop(handle, None)
 
@@ -215,7 +217,7 @@
         headers: dict[str, str],
         origin: str,
     ) -> None:
-        """Go on with a stopped run, once."""
+        """Resume a stopped run from its copy, which is used once."""
         request_id = headers["berylnotch-request-id"]
         answer = Headers((("Berylnotch-Request-Id", request_id),))
         handle = origin.partition("/")[2]
@@ -224,7 +226,7 @@
             answer.add("Berylnotch-Not-Executed", "1")
             connection.respond(503, answer)
             return
-        self._free_copy(handle)
+        self._release_copy(handle)
         target.resumed.append(request_id)
         answer.add("Berylnotch-Server-Stamp", f"stamp-{target.target_id}")
         after = int(headers["last-event-id"])
--- a/tests/test_daemon/test_fleet.py
+++ b/tests/test_daemon/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes before a stand-in of the users' platform."""
+"""Fleet of real processes that uses a stand-in for the users' platform."""
 
 import json
 import signal
@@ -84,7 +84,7 @@
     assert "not JSON" in until(refused, "a line in the log")[0]["reason"]
 
 
-def test_leader_frozen_and_thawed_never_answers_with_an_older_version(fleet):
+def test_leader_that_was_suspended_never_answers_with_an_older_version(fleet):
     fleet.make_ready()
     frozen = until(fleet.leader, "a leader")
     frozen.signal(signal.SIGSTOP)
@@ -97,7 +97,7 @@
         time.sleep(0.01)
 
 
-def test_wiped_controller_joins_again(fleet):
+def test_controller_with_a_wiped_disk_joins_again(fleet):
     fleet.make_ready()
     leader = until(fleet.leader, "a leader")
     wiped = next(c for c in fleet.controllers if c is not leader)
@@ -128,7 +128,7 @@
     until(has_joined, "the wiped controller is a voter again")
 
 
-def test_engine_lost_in_a_stream_resumes_elsewhere(fleet, platform):
+def test_stream_cut_by_its_engine_resumes_at_another_one(fleet, platform):
     fleet.make_ready()
     for name in ("llm-1", "llm-2"):
         platform.targets[name].events = 8
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("moods", [("cut", "error"), ("error", "cut")])
-def test_stream_that_resumes_into_an_error_is_broken_off(fleet, platform, moods):
+def test_stream_whose_resumption_fails_is_aborted(fleet, platform, moods):
     fleet.make_ready()
     for name, mood in zip(("llm-1", "llm-2"), moods, strict=True):
         platform.targets[name].events = 8
@@ -161,7 +161,7 @@
     assert runs.count("once") == 1
 
 
-def test_refusal_of_every_target_is_passed_on_as_not_run(fleet, platform):
+def test_refusal_by_every_target_is_forwarded_as_not_run(fleet, platform):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
         platform.targets[name].mood = "refuse"
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("mood", ["no_stamp", "foreign"])
-def test_odd_answer_is_not_passed_on_as_success(fleet, platform, mood):
+def test_unstamped_or_foreign_answer_is_not_forwarded_as_success(fleet, platform, mood):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
         platform.targets[name].mood = mood
@@ -182,7 +182,7 @@
     assert b"another" not in answer.body
 
 
-def test_hanging_target_of_an_idempotent_request_is_left(fleet, platform):
+def test_idempotent_request_to_a_hanging_target_is_retried(fleet, platform):
     fleet.make_ready()
     platform.targets["desk-1"].mood = "hang"
     for number in range(6):
@@ -190,7 +190,7 @@
         assert answer.status == 200
 
 
-def test_leaving_target_gets_no_new_work(fleet, platform):
+def test_leaving_target_gets_no_new_requests(fleet, platform):
     fleet.make_ready()
     platform.targets["desk-1"].is_leaving = True
     calls = platform.list_calls
@@ -201,7 +201,7 @@
     assert len(platform.targets["desk-1"].seen) == before
 
 
-def test_foreign_entries_of_the_list_do_no_harm(fleet, platform):
+def test_invalid_entries_of_the_target_list_are_ignored(fleet, platform):
     platform.foreign_entries = [
         7,
         {"id": "x"},
@@ -213,7 +213,7 @@
         assert fleet.ask(fleet.routers[0], "/book/x", f"f-{number}").status == 200
 
 
-def test_weights_are_rolled_out_one_engine_after_the_other(fleet, platform):
+def test_weights_are_rolled_out_one_engine_at_a_time(fleet, platform):
     fleet.make_ready()
     assert fleet.name_weights(2).status == 200
     engines = [platform.targets["llm-1"], platform.targets["llm-2"]]
@@ -222,14 +222,14 @@
     assert {order["op"] for order in orders} == {"version"}
     assert len({(order["holder"], order["fence"]) for order in orders}) == 1
 
-    def served_on_new():
+    def is_served_by_new_weights():
         answer = fleet.ask(fleet.routers[0], "/chat/x", f"w-{time.monotonic()}")
         return answer is not None and answer.status == 200
 
-    until(served_on_new, "a stream on the new weights")
+    until(is_served_by_new_weights, "a stream on the new weights")
 
 
-def test_an_engine_that_routers_cannot_use_gets_its_weights_all_the_same(
+def test_engine_that_routers_ejected_still_loads_new_weights(
     fleet, platform
 ):
     fleet.make_ready()
@@ -238,13 +238,13 @@
         for router in fleet.routers:
             parts = {"Berylnotch_Prefix_Hash": f"a{number}:2000,b{number}:1000"}
             fleet.ask(router, "/chat/x", f"sick-{number}-{router.name}", **parts)
-    # Routers report what they left out several times a second.
+    # Routers report the targets that they ejected several times per second.
     time.sleep(1.0)
     assert fleet.name_weights(2).status == 200
     until(lambda: platform.targets["llm-1"].version == 2, "new weights there")
 
 
-def test_withdrawn_key_stops_everywhere(fleet):
+def test_withdrawn_key_is_refused_by_all_routers(fleet):
     fleet.make_ready()
     assert fleet.put(configuration(5, keys=["other-key"])).status == 200
 
@@ -257,7 +257,7 @@
         assert fleet.ask(router, "/book/x", "k-new", key="other-key").status == 200
 
 
-def test_stopping_router_finishes_what_it_took(fleet, platform):
+def test_stopping_router_completes_running_requests(fleet, platform):
     fleet.make_ready()
     for name in ("llm-1", "llm-2"):
         platform.targets[name].events = 10
--- a/tests/test_daemon/test_fleet_follower.py
+++ b/tests/test_daemon/test_fleet_follower.py
@@ -1,4 +1,4 @@
-"""How a router finds the leader."""
+"""Discovery of the leader by a router."""
 
 import pytest
 
@@ -10,33 +10,33 @@
 
 
 class Loop:
-    """Runs nothing by itself; delayed calls are kept."""
+    """Loop that keeps delayed calls until the test runs them."""
 
     def __init__(self):
-        self.later = []
+        self.delayed = []
 
     def call_later(self, delay_s, call):
-        self.later.append((delay_s, call))
+        self.delayed.append((delay_s, call))
 
-    def run_connects(self):
-        """Run the calls that are due soon."""
-        later, self.later = self.later, []
-        for delay_s, call in later:
-            if delay_s < follower.ANSWER_S:
+    def run_due_calls(self):
+        """Run the reconnections, but not the checks for an answer."""
+        delayed, self.delayed = self.delayed, []
+        for delay_s, call in delayed:
+            if delay_s < follower.ANSWER_TIMEOUT_S:
                 call()
 
 
 class Log:
-    """A log that is not read."""
+    """Log that discards all lines."""
 
     def info(self, event, **fields):
-        """Take a line."""
+        """Discard a line."""
 
     warning = error = info
 
 
 class Link:
-    """A link whose other side the test plays."""
+    """Link whose remote side is controlled by the test."""
 
     def __init__(self, peer, handler, on_close):
         self.peer, self._handler, self._on_close = peer, handler, on_close
@@ -46,9 +46,9 @@
         """Do nothing."""
 
     def send(self, message):
-        """Take a message."""
+        """Discard a message."""
 
-    def hear(self, message):
+    def receive(self, message):
         self._handler(self, message)
 
     def close(self, reason):
@@ -82,27 +82,27 @@
     return link
 
 
-def test_a_redirect_is_followed_to_one_that_did_not_answer_in_time(opened):
+def test_redirect_to_a_controller_that_timed_out_is_followed(opened):
     loop = Loop()
     start(loop)
-    slow = opened[-1]
-    slow.close(f"{SILENT}: no answer")
-    loop.run_connects()
+    timed_out = opened[-1]
+    timed_out.close(f"{SILENT}: no answer")
+    loop.run_due_calls()
     other = opened[-1]
-    assert other.peer != slow.peer
-    other.hear(Redirect(slow.peer, ADDRESSES))
-    loop.run_connects()
-    assert opened[-1].peer == slow.peer
+    assert other.peer != timed_out.peer
+    other.receive(Redirect(timed_out.peer, ADDRESSES))
+    loop.run_due_calls()
+    assert opened[-1].peer == timed_out.peer
 
 
-def test_a_leader_that_fell_silent_is_not_followed_for_a_while(opened):
+def test_redirect_to_a_lost_leader_is_not_followed_for_a_while(opened):
     loop = Loop()
     start(loop)
     leader = opened[-1]
-    leader.hear(LoadColumns(1, b"", b""))
+    leader.receive(LoadColumns(1, b"", b""))
     leader.close("receive failed: timed out")
-    loop.run_connects()
+    loop.run_due_calls()
     other = opened[-1]
-    other.hear(Redirect(leader.peer, ADDRESSES))
-    loop.run_connects()
+    other.receive(Redirect(leader.peer, ADDRESSES))
+    loop.run_due_calls()
     assert opened[-1].peer != leader.peer
--- a/tests/test_daemon/test_fleet_registry.py
+++ b/tests/test_daemon/test_fleet_registry.py
@@ -1,4 +1,4 @@
-"""What the leader sends to routers."""
+"""Messages that the leader sends to routers."""
 
 from berylnotch.daemon.fleet.registry import RouterRegistry
 from berylnotch.group.commands import PutConfiguration
@@ -16,22 +16,22 @@
 
 
 class Log:
-    """A log that is not read."""
+    """Log that discards all lines."""
 
     def info(self, event, **fields):
-        """Take a line."""
+        """Discard a line."""
 
     warning = error = info
 
 
 class Link:
-    """A link that keeps what is sent."""
+    """Link that records the sent messages."""
 
     def __init__(self):
         self.sent = []
 
     def send(self, message):
-        # What goes to many routers is packed once, by the registry.
+        # The registry packs a message for many routers only once.
         if isinstance(message, bytes):
             message = unpack(message, ROUTER_MESSAGES)
         self.sent.append(message)
@@ -49,64 +49,67 @@
     return RouterReport(**{**values, **changes})
 
 
-def test_a_router_hears_from_a_leader_that_knows_nothing_yet():
-    # A router leaves a controller that does not answer its first report. A leader
-    # that could not read the list, and has no newer configuration, must answer too.
+def test_leader_without_any_state_answers_a_first_report():
+    # Guards against routers that close the link to the leader because their first
+    # report got no answer. A leader that could not read the target list yet, and has
+    # no newer configuration, must answer as well.
     registry, link = RouterRegistry(FleetState(), Log()), Link()
-    registry.take(link, report(version=12))
+    registry.on_report(link, report(version=12))
     assert [type(message) for message in link.sent] == [LoadColumns]
 
 
-def test_a_router_behind_gets_the_configuration_once():
+def test_router_with_an_older_configuration_gets_the_new_one_once():
     state = FleetState()
     state.apply(pack(PutConfiguration(16, b"content")))
     registry, link = RouterRegistry(state, Log()), Link()
-    registry.take(link, report(version=12))
-    registry.take(link, report(version=12))
+    registry.on_report(link, report(version=12))
+    registry.on_report(link, report(version=12))
     updates = [m for m in link.sent if isinstance(m, ConfigurationUpdate)]
     assert updates == [ConfigurationUpdate(16, b"content")]
 
 
-def test_a_router_that_comes_back_on_a_new_link_gets_it_again():
+def test_router_that_reconnects_gets_the_configuration_again():
     state = FleetState()
     state.apply(pack(PutConfiguration(16, b"content")))
     registry, old, new = RouterRegistry(state, Log()), Link(), Link()
-    registry.take(old, report(version=12))
-    registry.take(new, report(version=12))
-    registry.lost(old, "silent")
+    registry.on_report(old, report(version=12))
+    registry.on_report(new, report(version=12))
+    registry.on_link_closed(old, "silent")
     assert any(isinstance(m, ConfigurationUpdate) for m in new.sent)
     assert registry.count == 1
 
 
-def test_targets_that_two_routers_left_out_are_suspects():
+def test_targets_that_two_routers_ejected_are_suspects():
     registry, link = RouterRegistry(FleetState(), Log()), Link()
     loads = (TargetLoad("t", 2, 30),)
-    registry.take(link, report("a", ejected=("t",), loads=loads))
+    registry.on_report(link, report("a", ejected=("t",), loads=loads))
     assert registry.unreachable() == frozenset()
-    registry.take(Link(), report("b", ejected=("t",), loads=loads))
+    registry.on_report(Link(), report("b", ejected=("t",), loads=loads))
     assert registry.unreachable() == {"t"}
     registry.push_loads()
     assert registry.requests() == {"t": 4}
 
 
-def test_sums_replace_what_routers_added_for_notes():
+def test_load_sums_are_sent_again_after_prompt_notes():
     registry, link = RouterRegistry(FleetState(), Log()), Link()
     note = PromptNote(7, 13_000, "t", 3_000, is_ready=False, unread=16_000)
-    registry.take(link, report("a", loads=(TargetLoad("t", 1, 500),)))
+    registry.on_report(link, report("a", loads=(TargetLoad("t", 1, 500),)))
     registry.push_loads()
-    registry.take(link, report("a", loads=(TargetLoad("t", 1, 500),), prompts=(note,)))
+    registry.on_report(
+        link, report("a", loads=(TargetLoad("t", 1, 500),), prompts=(note,))
+    )
     registry.push_notes(registry.take_notes())
     registry.push_loads()
     registry.push_loads()
-    kinds = [type(m) for m in link.sent if isinstance(m, (LoadColumns, NoteRecords))]
-    assert kinds == [LoadColumns, LoadColumns, NoteRecords, LoadColumns]
+    types = [type(m) for m in link.sent if isinstance(m, (LoadColumns, NoteRecords))]
+    assert types == [LoadColumns, LoadColumns, NoteRecords, LoadColumns]
 
 
-def test_long_requests_are_summed_up_over_routers():
+def test_long_requests_are_summed_over_all_routers():
     registry = RouterRegistry(FleetState(), Log())
     for name in "ab":
         loads = (TargetLoad("t", 5, 30, long=2), TargetLoad("u", 1))
-        registry.take(Link(), report(name, loads=loads))
+        registry.on_report(Link(), report(name, loads=loads))
     assert registry.long_requests("t") == 0
     registry.push_loads()
     assert registry.long_requests("t") == 4
--- a/tests/test_daemon/test_fleet_start.py
+++ b/tests/test_daemon/test_fleet_start.py
@@ -1,10 +1,10 @@
-"""Routers that know nothing yet, before a long list of targets."""
+"""Start of routers and change of the leader while a long target list is read."""
 
 import time
 
 import pytest
 
-from berylnotch.daemon.fleet.leader import PUSH_S
+from berylnotch.daemon.fleet.leader import TARGETS_BATCH_S
 from tests.fleet.processes import FleetOfProcesses, gauge, until
 
 
@@ -14,13 +14,13 @@
     platform.add("desk-1", "desk")
     platform.add("llm-1", "llm", version=1)
     platform.add("desk-2", "desk")
-    # The list never ends: its second page fails.
+    # The list is never read in full: its second page fails.
     platform.page_size, platform.readable_pages = 2, 1
     yield processes
     processes.close()
 
 
-def test_routers_serve_by_the_first_page_while_the_list_is_being_read(fleet):
+def test_routers_serve_with_the_first_page_while_the_list_is_being_read(fleet):
     fleet.start()
     fleet.make_ready()
     router = fleet.routers[0]
@@ -31,14 +31,14 @@
     platform.readable_pages = 2
     fleet.start()
     fleet.make_ready()
-    # They are ready by the first page, maybe before the second one came.
+    # Routers are ready after the first page, maybe before the second one arrived.
     until(lambda: _is_listed(fleet, "desk-2"), "the whole list at the leader")
-    time.sleep(10 * PUSH_S)
+    time.sleep(10 * TARGETS_BATCH_S)
     platform.readable_pages = 1
     leader = until(fleet.leader, "a leader")
     leader.kill()
     router = fleet.routers[0]
-    until(lambda: _leaders_found(router) == 2, "the router at the next leader")
+    until(lambda: _leaders_found_count(router) == 2, "the router at the next leader")
     platform.stop("desk-1")
     statuses = [fleet.ask(router, "/read/x", f"r-{n}", "GET").status for n in range(20)]
     assert statuses == [200] * 20
@@ -68,5 +68,5 @@
     return gauge(fleet.metrics(fleet.routers[0]), "berylnotch_targets_heard_seconds")
 
 
-def _leaders_found(router):
+def _leaders_found_count(router):
     return sum(line.get("event") == "leader_found" for line in router.lines())
--- a/tests/test_daemon/test_new_group.py
+++ b/tests/test_daemon/test_new_group.py
@@ -1,4 +1,4 @@
-"""A new group of controllers, after the old one was given up for good."""
+"""Bootstrap of a new group of controllers after the old group was abandoned."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from tests.test_daemon.conftest import callers_at, start_small
 
 NAMES = ("c1", "c2", "c3")
-#: Seconds in which a router takes a new group's state, or stops to be fresh.
+#: Seconds within which a router accepts a new group's state, or its state expires.
 _CHANGE_S = 10.0
 
 
-def test_router_takes_no_key_of_a_group_that_was_given_up(fleet):
+def test_router_refuses_a_key_of_an_abandoned_group(fleet):
     fleet.start_controllers(NAMES, DOMAINS[:3])
     small = start_small(fleet)
     old = fleet.give_key("importer-desk")
--- a/tests/test_daemon/test_order_right.py
+++ b/tests/test_daemon/test_order_right.py
@@ -1,4 +1,4 @@
-"""Who may give orders to engines, and when the next leader may."""
+"""Order lease: which leader may send orders to engines, and from when."""
 
 from types import SimpleNamespace
 
@@ -20,20 +20,20 @@
 
 
 class Group:
-    """A state that all controllers share, and a log that may be out of reach."""
+    """Replicated state of all controllers, and a log that may fail to commit."""
 
     def __init__(self, clock):
-        self.clock, self.state, self.commits = clock, FleetState(), True
+        self.clock, self.state, self.can_commit = clock, FleetState(), True
         self.epoch = 0
 
     def propose(self, command, done):
-        if self.commits:
+        if self.can_commit:
             self.state.apply(command)
-        done(self.commits)
+        done(self.can_commit)
 
     def lead(self, name):
-        """Return a new leader's right, and the times at which it got it."""
-        taken = []
+        """Return a new leader's order lease, and the times at which it acquired it."""
+        acquired = []
         self.epoch += 1
         settings = SimpleNamespace(
             name=name, bounds=SimpleNamespace(order_lease_s=LEASE_S)
@@ -44,10 +44,10 @@
             self.state,
             self.propose,
             self.epoch,
-            lambda: taken.append(self.clock.now),
+            lambda: acquired.append(self.clock.now),
             Log(),
         )
-        return right, taken
+        return right, acquired
 
 
 @pytest.fixture
@@ -55,38 +55,38 @@
     return Group(clock)
 
 
-def test_the_first_leader_orders_at_once(group, clock):
-    right, taken = group.lead("c1")
+def test_first_leader_acquires_the_lease_at_once(group, clock):
+    right, acquired = group.lead("c1")
     right.ask()
-    assert taken == [clock.now] and right.is_held
+    assert acquired == [clock.now] and right.is_held
     assert group.state.order_holder == "c1"
 
 
-def test_a_new_leader_waits_for_the_orders_of_the_one_before(group, clock):
+def test_new_leader_waits_for_the_orders_of_its_predecessor(group, clock):
     first, _ = group.lead("c1")
     first.ask()
     first.began()
     first.close()
     began_at = clock.now
-    second, taken = group.lead("c2")
+    second, acquired = group.lead("c2")
     second.ask()
     clock.advance(LEASE_S)
-    assert taken == [] and not second.is_held
+    assert acquired == [] and not second.is_held
     clock.advance(1.0)
-    assert len(taken) == 1 and taken[0] - began_at > LEASE_S
+    assert len(acquired) == 1 and acquired[0] - began_at > LEASE_S
 
 
-def test_time_that_passed_before_an_order_was_due_counts(group, clock):
+def test_time_before_the_first_request_counts_towards_the_wait(group, clock):
     first, _ = group.lead("c1")
     first.ask()
     first.close()
-    second, taken = group.lead("c2")
+    second, acquired = group.lead("c2")
     clock.advance(LEASE_S + 1)
     second.ask()
-    assert taken == [clock.now]
+    assert acquired == [clock.now]
 
 
-def test_a_right_that_rested_for_a_lease_is_not_waited_for(group, clock):
+def test_lease_is_released_after_idle_time_and_needs_no_wait(group, clock):
     first, _ = group.lead("c1")
     first.ask()
     first.began()
@@ -98,22 +98,22 @@
     clock.advance(1.0)
     assert not first.is_held and group.state.order_holder == ""
     assert clock.now - ended_at > LEASE_S
-    second, taken = group.lead("c2")
+    second, acquired = group.lead("c2")
     second.ask()
-    assert taken == [clock.now]
+    assert acquired == [clock.now]
 
 
-def test_it_is_taken_again_before_the_next_order(group, clock):
-    right, taken = group.lead("c1")
+def test_released_lease_is_acquired_again_before_the_next_order(group, clock):
+    right, acquired = group.lead("c1")
     right.ask()
     clock.advance(LEASE_S + 1)
     assert not right.is_held
     right.ask()
-    assert right.is_held and len(taken) == 2
+    assert right.is_held and len(acquired) == 2
     assert group.state.order_holder == "c1"
 
 
-def test_each_order_begins_the_rest_anew(group, clock):
+def test_each_order_restarts_the_idle_time(group, clock):
     right, _ = group.lead("c1")
     right.ask()
     for _ in range(4):
@@ -123,37 +123,37 @@
     assert right.is_held and group.state.order_holder == "c1"
 
 
-def test_a_right_that_could_not_be_given_back_is_waited_for(group, clock):
+def test_new_leader_waits_if_the_release_was_not_committed(group, clock):
     first, _ = group.lead("c1")
     first.ask()
-    group.commits = False
+    group.can_commit = False
     clock.advance(LEASE_S + 1)
     assert not first.is_held and group.state.order_holder == "c1"
-    group.commits = True
-    second, taken = group.lead("c2")
+    group.can_commit = True
+    second, acquired = group.lead("c2")
     second.ask()
-    assert taken == []
+    assert acquired == []
     clock.advance(LEASE_S + 1)
-    assert len(taken) == 1
+    assert len(acquired) == 1
 
 
-def test_taking_is_tried_again(group, clock):
-    right, taken = group.lead("c1")
-    group.commits = False
+def test_acquisition_is_retried(group, clock):
+    right, acquired = group.lead("c1")
+    group.can_commit = False
     right.ask()
     assert not right.is_held
-    group.commits = True
+    group.can_commit = True
     clock.advance(1.0)
-    assert right.is_held and len(taken) == 1
+    assert right.is_held and len(acquired) == 1
 
 
-def test_a_former_leader_takes_nothing(group, clock):
+def test_former_leader_does_not_acquire_the_lease(group, clock):
     first, _ = group.lead("c1")
     first.ask()
-    second, taken = group.lead("c2")
+    second, acquired = group.lead("c2")
     second.ask()
     second.close()
     clock.advance(LEASE_S + 1)
-    assert taken == [] and not second.is_held
+    assert acquired == [] and not second.is_held
     first.close()
     assert not first.is_held
