--- a/tests/test_daemon/test_fleet.py
+++ b/tests/test_daemon/test_fleet.py
@@ -229,9 +229,7 @@
     until(is_served_by_new_weights, "a stream on the new weights")
 
 
-def test_engine_that_routers_ejected_still_loads_new_weights(
-    fleet, platform
-):
+def test_engine_that_routers_ejected_still_loads_new_weights(fleet, platform):
     fleet.make_ready()
     platform.targets["llm-1"].mood = "reset"
     for number in range(8):
--- a/tests/test_daemon/test_fleet_notes.py
+++ b/tests/test_daemon/test_fleet_notes.py
@@ -46,9 +46,9 @@
 def _exhaust_burst(notes, now):
     """Use up the unreserved burst, so that only notes of unknown prefixes pass."""
     many = range(1000, 1000 + int(NOTES_BURST * NEW_NOTES_RESERVE))
-    assert len(
-        notes.select_notes(now, [_ready(n, f"other-{n}") for n in many])
-    ) == len(many)
+    assert len(notes.select_notes(now, [_ready(n, f"other-{n}") for n in many])) == len(
+        many
+    )
 
 
 def test_all_notes_of_a_small_fleet_are_forwarded(notes):
