--- a/berylnotch/admission/backlog.py
+++ b/berylnotch/admission/backlog.py
@@ -10,7 +10,7 @@
     from berylnotch.admission.ticket import Ticket
 
 #: Time with a backlog after which its service rate is believed, in seconds.
-MIN_BUSY_S = 0.5
+MIN_BACKLOGGED_S = 0.5
 
 #: Entry number of an organisation that is not in the order of service.
 NO_ENTRY = -1
@@ -40,56 +40,56 @@
     """
 
     def __init__(self, window_s: float, now: float) -> None:
-        self.start = 0.0
-        self.entry = NO_ENTRY
-        self.is_short = False
-        self.is_parked = False
+        self.start_tag = 0.0
+        self.entry_number = NO_ENTRY
+        self.is_short_of_tokens = False
+        self.is_deferred = False
         self._window_s = window_s
         self._tickets: deque[Ticket] = deque()
-        self._live: set[str] = set()
-        self._cost = 0.0
-        self._served = 0.0
-        self._busy_s = 0.0
-        self._updated = now
+        self._waiting_ids: set[str] = set()
+        self._waiting_cost = 0.0
+        self._served_cost = 0.0
+        self._backlogged_s = 0.0
+        self._updated_at = now
 
     def __len__(self) -> int:
-        return len(self._live)
+        return len(self._waiting_ids)
 
     @property
-    def size(self) -> int:
+    def n_stored(self) -> int:
         """Requests in memory, with removed ones not yet dropped."""
         return len(self._tickets)
 
     def add(self, now: float, ticket: Ticket) -> None:
         """Append a request."""
-        self._measure(now)
+        self._update_rate(now)
         self._tickets.append(ticket)
-        self._live.add(ticket.identity)
-        self._cost += ticket.cost
+        self._waiting_ids.add(ticket.identity)
+        self._waiting_cost += ticket.cost
 
     def head(self, now: float) -> Ticket | None:
         """Return the oldest request whose deadline has not passed."""
         while self._tickets:
             ticket = self._tickets[0]
-            if ticket.deadline > now and ticket.identity in self._live:
+            if ticket.deadline > now and ticket.identity in self._waiting_ids:
                 return ticket
             self._tickets.popleft()
         return None
 
     def remove(self, now: float, ticket: Ticket) -> None:
         """Take out a request wherever it stands."""
-        self._measure(now)
-        self._live.remove(ticket.identity)
-        self._cost -= ticket.cost
-        if len(self._tickets) > 2 * len(self._live):
-            kept = (t for t in self._tickets if t.identity in self._live)
-            self._tickets = deque(kept)
+        self._update_rate(now)
+        self._waiting_ids.remove(ticket.identity)
+        self._waiting_cost -= ticket.cost
+        if len(self._tickets) > 2 * len(self._waiting_ids):
+            waiting = (t for t in self._tickets if t.identity in self._waiting_ids)
+            self._tickets = deque(waiting)
 
     def serve(self, now: float, ticket: Ticket) -> None:
         """Take out a request that is sent to a target."""
-        self.is_short = False
+        self.is_short_of_tokens = False
         self.remove(now, ticket)
-        self._served += ticket.cost
+        self._served_cost += ticket.cost
 
     def expected_wait_s(self, now: float, cost: float = 0.0) -> float:
         """Return how long a new request of ``cost`` would wait.
@@ -97,18 +97,18 @@
         It is 0 as long as the service rate is not known. Time in which the
         organisation lacked tokens is left out of the rate.
         """
-        self._measure(now)
-        if self._busy_s < MIN_BUSY_S or not self._served:
+        self._update_rate(now)
+        if self._backlogged_s < MIN_BACKLOGGED_S or not self._served_cost:
             return 0.0
-        return (self._cost + cost) * self._busy_s / self._served
+        return (self._waiting_cost + cost) * self._backlogged_s / self._served_cost
 
-    def _measure(self, now: float) -> None:
-        elapsed = now - self._updated
+    def _update_rate(self, now: float) -> None:
+        elapsed = now - self._updated_at
         if elapsed <= 0:
             return
-        self._updated = now
-        if not self._live or self.is_short:
+        self._updated_at = now
+        if not self._waiting_ids or self.is_short_of_tokens:
             return
         decay = math.exp(-elapsed / self._window_s)
-        self._served *= decay
-        self._busy_s = self._busy_s * decay + elapsed
+        self._served_cost *= decay
+        self._backlogged_s = self._backlogged_s * decay + elapsed
--- a/berylnotch/admission/queue.py
+++ b/berylnotch/admission/queue.py
@@ -33,7 +33,7 @@
 UNKNOWN_RETRY_MS = 1000
 
 #: Outdated heap entries that are kept beside as many valid ones.
-SLACK_ENTRIES = 64
+COMPACTION_SLACK = 64
 
 
 class FairQueue:
@@ -56,23 +56,25 @@
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self._settings = settings
-        self._waiting: dict[str, Ticket] = {}
+        self._tickets: dict[str, Ticket] = {}
         self._backlogs: dict[str, Backlog] = {}
-        self._order: list[tuple[float, int, str]] = []
-        self._parked: list[tuple[float, int, str]] = []
-        self._deadlines: list[tuple[float, str]] = []
-        self._numbers = count()
-        self._virtual = 0.0
+        self._ready_heap: list[tuple[float, int, str]] = []
+        self._deferred_heap: list[tuple[float, int, str]] = []
+        self._deadline_heap: list[tuple[float, str]] = []
+        self._entry_numbers = count()
+        self._virtual_time = 0.0
         self._now = -math.inf
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._tickets)
 
     @property
     def n_entries(self) -> int:
         """Entries in memory, outdated ones included."""
-        heaps = len(self._order) + len(self._parked) + len(self._deadlines)
-        return heaps + sum(b.size for b in self._backlogs.values())
+        n_heap_entries = (
+            len(self._ready_heap) + len(self._deferred_heap) + len(self._deadline_heap)
+        )
+        return n_heap_entries + sum(b.n_stored for b in self._backlogs.values())
 
     def offer(self, now: float, ticket: Ticket) -> Refusal | None:
         """Queue a request, or say why not and when to come back.
@@ -83,7 +85,7 @@
             If a request of the same identity waits.
         """
         self._now = max(self._now, now)
-        if ticket.identity in self._waiting:
+        if ticket.identity in self._tickets:
             raise DuplicateTicketError(ticket.identity)
         reason = self._refusal_reason(now, ticket)
         if reason is not None:
@@ -100,51 +102,51 @@
         organisation that is not set aside.
         """
         self._now = max(self._now, now)
-        self._unpark(now)
-        while self._order:
-            _, number, organisation = heapq.heappop(self._order)
+        self._resume_due(now)
+        while self._ready_heap:
+            _, entry_number, organisation = heapq.heappop(self._ready_heap)
             backlog = self._backlogs.get(organisation)
-            if backlog is None or backlog.entry != number:
+            if backlog is None or backlog.entry_number != entry_number:
                 continue
             head = backlog.head(now)
             if head is None:
-                backlog.entry = NO_ENTRY
+                backlog.entry_number = NO_ENTRY
                 continue
             fit = fits(head)
             if fit is True or fit is Fit.FITS:
                 self._serve(now, backlog, head)
                 return head
-            self._park(now, backlog, organisation, fit)
+            self._defer(now, backlog, organisation, fit)
         return None
 
     def wake(self, organisation: str) -> None:
         """Consider an organisation again, which got tokens or capacity."""
         backlog = self._backlogs.get(organisation)
-        if backlog is not None and backlog.is_parked:
-            self._enter(backlog, organisation)
+        if backlog is not None and backlog.is_deferred:
+            self._schedule(backlog, organisation)
 
     def wake_all(self) -> None:
         """Consider every organisation again."""
-        for _, number, organisation in self._parked:
+        for _, entry_number, organisation in self._deferred_heap:
             backlog = self._backlogs.get(organisation)
-            if backlog is not None and backlog.entry == number:
-                self._enter(backlog, organisation)
-        self._parked.clear()
+            if backlog is not None and backlog.entry_number == entry_number:
+                self._schedule(backlog, organisation)
+        self._deferred_heap.clear()
 
     def expire(self, now: float) -> tuple[Ticket, ...]:
         """Take out the requests whose deadline has passed."""
-        gone = []
-        while self._deadlines and self._deadlines[0][0] <= now:
-            deadline, identity = heapq.heappop(self._deadlines)
-            ticket = self._waiting.get(identity)
+        expired = []
+        while self._deadline_heap and self._deadline_heap[0][0] <= now:
+            deadline, identity = heapq.heappop(self._deadline_heap)
+            ticket = self._tickets.get(identity)
             if ticket is not None and ticket.deadline == deadline:
                 self._remove(now, ticket)
-                gone.append(ticket)
-        return tuple(gone)
+                expired.append(ticket)
+        return tuple(expired)
 
     def cancel(self, ticket: Ticket) -> bool:
         """Take out a request that was given up; return whether it waited."""
-        if self._waiting.get(ticket.identity) is not ticket:
+        if self._tickets.get(ticket.identity) is not ticket:
             return False
         self._remove(self._now, ticket)
         return True
@@ -164,16 +166,16 @@
     def _refusal_reason(self, now: float, ticket: Ticket) -> RefusalReason | None:
         if ticket.deadline <= now:
             return RefusalReason.DEADLINE_PASSED
-        free = self._settings.max_tickets - len(self._waiting)
-        if free <= 0:
+        n_free = self._settings.max_tickets - len(self._tickets)
+        if n_free <= 0:
             return RefusalReason.QUEUE_FULL
         backlog = self._backlogs.get(ticket.organisation)
         if backlog is None or not len(backlog):
             return None
-        if len(backlog) >= max(1, free * self._settings.free_fraction):
+        if len(backlog) >= max(1, n_free * self._settings.free_fraction):
             return RefusalReason.ORGANISATION_FULL
-        bearable_s = min(self._settings.max_wait_s, ticket.deadline - now)
-        if backlog.expected_wait_s(now) > bearable_s:
+        max_wait_s = min(self._settings.max_wait_s, ticket.deadline - now)
+        if backlog.expected_wait_s(now) > max_wait_s:
             return RefusalReason.WAIT_TOO_LONG
         return None
 
@@ -183,84 +185,90 @@
             backlog = Backlog(self._settings.rate_window_s, now)
             self._backlogs[ticket.organisation] = backlog
         backlog.add(now, ticket)
-        if backlog.entry == NO_ENTRY:
-            backlog.start = max(backlog.start, self._virtual)
-            backlog.is_short = False
-            self._enter(backlog, ticket.organisation)
-        self._waiting[ticket.identity] = ticket
-        heapq.heappush(self._deadlines, (ticket.deadline, ticket.identity))
-
-    def _enter(self, backlog: Backlog, organisation: str) -> None:
-        backlog.is_parked = False
-        backlog.entry = next(self._numbers)
-        entry = (backlog.start, backlog.entry, organisation)
-        heapq.heappush(self._order, entry)
-
-    def _park(
+        if backlog.entry_number == NO_ENTRY:
+            backlog.start_tag = max(backlog.start_tag, self._virtual_time)
+            backlog.is_short_of_tokens = False
+            self._schedule(backlog, ticket.organisation)
+        self._tickets[ticket.identity] = ticket
+        heapq.heappush(self._deadline_heap, (ticket.deadline, ticket.identity))
+
+    def _schedule(self, backlog: Backlog, organisation: str) -> None:
+        backlog.is_deferred = False
+        backlog.entry_number = next(self._entry_numbers)
+        entry = (backlog.start_tag, backlog.entry_number, organisation)
+        heapq.heappush(self._ready_heap, entry)
+
+    def _defer(
         self, now: float, backlog: Backlog, organisation: str, fit: Fit | bool
     ) -> None:
-        backlog.is_short = fit is Fit.NO_TOKENS
-        backlog.is_parked = True
-        backlog.entry = next(self._numbers)
-        until = now + self._settings.recheck_s
-        heapq.heappush(self._parked, (until, backlog.entry, organisation))
-
-    def _unpark(self, now: float) -> None:
-        while self._parked and self._parked[0][0] <= now:
-            _, number, organisation = heapq.heappop(self._parked)
+        backlog.is_short_of_tokens = fit is Fit.NO_TOKENS
+        backlog.is_deferred = True
+        backlog.entry_number = next(self._entry_numbers)
+        recheck_at = now + self._settings.recheck_s
+        heapq.heappush(
+            self._deferred_heap, (recheck_at, backlog.entry_number, organisation)
+        )
+
+    def _resume_due(self, now: float) -> None:
+        while self._deferred_heap and self._deferred_heap[0][0] <= now:
+            _, entry_number, organisation = heapq.heappop(self._deferred_heap)
             backlog = self._backlogs.get(organisation)
-            if backlog is not None and backlog.entry == number:
-                self._enter(backlog, organisation)
+            if backlog is not None and backlog.entry_number == entry_number:
+                self._schedule(backlog, organisation)
 
     def _serve(self, now: float, backlog: Backlog, ticket: Ticket) -> None:
-        self._virtual = max(self._virtual, backlog.start)
-        backlog.start += ticket.cost / _weight(ticket)
+        self._virtual_time = max(self._virtual_time, backlog.start_tag)
+        backlog.start_tag += ticket.cost / _weight(ticket)
         backlog.serve(now, ticket)
-        backlog.entry = NO_ENTRY
-        del self._waiting[ticket.identity]
+        backlog.entry_number = NO_ENTRY
+        del self._tickets[ticket.identity]
         if len(backlog):
-            self._enter(backlog, ticket.organisation)
+            self._schedule(backlog, ticket.organisation)
         self._compact()
 
     def _remove(self, now: float, ticket: Ticket) -> None:
-        del self._waiting[ticket.identity]
+        del self._tickets[ticket.identity]
         backlog = self._backlogs[ticket.organisation]
         backlog.remove(now, ticket)
         if not len(backlog):
-            backlog.entry = NO_ENTRY
-            backlog.is_parked = False
-        elif backlog.is_parked:
-            self._enter(backlog, ticket.organisation)
+            backlog.entry_number = NO_ENTRY
+            backlog.is_deferred = False
+        elif backlog.is_deferred:
+            self._schedule(backlog, ticket.organisation)
         self._compact()
 
     def _compact(self) -> None:
         """Drop outdated entries once they outnumber the valid ones."""
-        allowed = 2 * len(self._waiting) + SLACK_ENTRIES
-        if len(self._deadlines) > allowed:
-            self._deadlines = [(t.deadline, t.identity) for t in self._waiting.values()]
-            heapq.heapify(self._deadlines)
-        if len(self._order) > allowed:
-            self._order = self._valid(self._order)
-        if len(self._parked) > allowed:
-            self._parked = self._valid(self._parked)
-        if len(self._backlogs) > allowed:
-            self._forget_idle()
-
-    def _valid(self, heap: list[tuple[float, int, str]]) -> list:
+        max_entries = 2 * len(self._tickets) + COMPACTION_SLACK
+        if len(self._deadline_heap) > max_entries:
+            self._deadline_heap = [
+                (t.deadline, t.identity) for t in self._tickets.values()
+            ]
+            heapq.heapify(self._deadline_heap)
+        if len(self._ready_heap) > max_entries:
+            self._ready_heap = self._valid_entries(self._ready_heap)
+        if len(self._deferred_heap) > max_entries:
+            self._deferred_heap = self._valid_entries(self._deferred_heap)
+        if len(self._backlogs) > max_entries:
+            self._drop_idle_backlogs()
+
+    def _valid_entries(self, heap: list[tuple[float, int, str]]) -> list:
         backlogs = self._backlogs
-        kept = [e for e in heap if e[2] in backlogs and backlogs[e[2]].entry == e[1]]
-        heapq.heapify(kept)
-        return kept
+        valid = [
+            e for e in heap if e[2] in backlogs and backlogs[e[2]].entry_number == e[1]
+        ]
+        heapq.heapify(valid)
+        return valid
 
-    def _forget_idle(self) -> None:
+    def _drop_idle_backlogs(self) -> None:
         """Drop organisations without a backlog whose tag lies in the past."""
-        if not self._waiting:
+        if not self._tickets:
             self._backlogs.clear()
             return
         self._backlogs = {
             name: backlog
             for name, backlog in self._backlogs.items()
-            if len(backlog) or backlog.start > self._virtual
+            if len(backlog) or backlog.start_tag > self._virtual_time
         }
 
 
--- a/berylnotch/admission/window.py
+++ b/berylnotch/admission/window.py
@@ -9,16 +9,16 @@
 from berylnotch.admission.retry import RetrySettings
 
 #: Parts of a window in which attempts are counted; more are closer to its edges.
-PARTS = 10
+N_INTERVALS = 10
 
 
 @define
-class _Part:
+class _Interval:
     """Attempts in one part of a window."""
 
-    number: int
-    earned: int = 0
-    spent: int = 0
+    index: int
+    n_first_attempts: int = 0
+    n_retries: int = 0
 
 
 class WindowBudget:
@@ -38,8 +38,8 @@
 
     def __init__(self, settings: RetrySettings, window_s: float) -> None:
         self._settings = settings
-        self._part_s = window_s / PARTS
-        self._parts: deque[_Part] = deque()
+        self._interval_s = window_s / N_INTERVALS
+        self._intervals: deque[_Interval] = deque()
 
     def resize(self, settings: RetrySettings) -> None:
         """Take other bounds; what was spent still counts."""
@@ -47,11 +47,17 @@
 
     def balance(self, now: float) -> float:
         """Return the retries that may be made now, negative after smaller bounds."""
-        newest = self._advance(now)
+        current = self._drop_old_intervals(now)
         # Parts at the edge count against the budget, and not for it.
-        earned = sum(p.earned for p in self._parts if p.number > newest - PARTS)
-        spent = sum(p.spent for p in self._parts)
-        return self._settings.reserve + self._settings.ratio * earned - spent
+        n_first_attempts = sum(
+            interval.n_first_attempts
+            for interval in self._intervals
+            if interval.index > current - N_INTERVALS
+        )
+        n_retries = sum(interval.n_retries for interval in self._intervals)
+        return (
+            self._settings.reserve + self._settings.ratio * n_first_attempts - n_retries
+        )
 
     def has_room(self, now: float) -> bool:
         """Tell whether another retry may be made."""
@@ -59,24 +65,24 @@
 
     def earn(self, now: float) -> None:
         """Count a first attempt."""
-        self._newest(now).earned += 1
+        self._current_interval(now).n_first_attempts += 1
 
     def spend(self, now: float) -> bool:
         """Take one retry; return whether there was room for it."""
         if not self.has_room(now):
             return False
-        self._newest(now).spent += 1
+        self._current_interval(now).n_retries += 1
         return True
 
-    def _newest(self, now: float) -> _Part:
-        number = self._advance(now)
-        if not self._parts or self._parts[-1].number < number:
-            self._parts.append(_Part(number))
-        return self._parts[-1]
+    def _current_interval(self, now: float) -> _Interval:
+        index = self._drop_old_intervals(now)
+        if not self._intervals or self._intervals[-1].index < index:
+            self._intervals.append(_Interval(index))
+        return self._intervals[-1]
 
-    def _advance(self, now: float) -> int:
+    def _drop_old_intervals(self, now: float) -> int:
         """Forget what no window up to ``now`` holds; return the present part."""
-        number = int(now / self._part_s)
-        while self._parts and self._parts[0].number < number - PARTS:
-            self._parts.popleft()
-        return number
+        index = int(now / self._interval_s)
+        while self._intervals and self._intervals[0].index < index - N_INTERVALS:
+            self._intervals.popleft()
+        return index
--- a/berylnotch/quota/bounds.py
+++ b/berylnotch/quota/bounds.py
@@ -12,7 +12,7 @@
 
 #: Part of the room above the rate that is lent; the rest covers the tokens that a
 #: new owner lends before it knows what the earlier one lent.
-LENT_PART = 0.7
+GRANTED_FRACTION = 0.7
 
 #: Part of an organisation's burst that the routers may hold for use to come, so
 #: that they serve on while there is no owner.
@@ -20,11 +20,11 @@
 
 #: Part of the burst that a new owner lends at once, instead of waiting for earlier
 #: grants to end: the rest that `LENT_PART` leaves.
-TAKEOVER_PART = (1 - LENT_PART) / LENT_PART
+TAKEOVER_FRACTION = (1 - GRANTED_FRACTION) / GRANTED_FRACTION
 
 #: Part of the burst that is lent only to work that waits: half of what a new owner
 #: lends at once, so that routers can hold tokens in advance from its first answer on.
-RESERVED_PART = TAKEOVER_PART / 2
+RESERVED_FRACTION = TAKEOVER_FRACTION / 2
 
 #: Lending in a fleet: grants outlast a change of leader.
 FLEET_QUOTA = QuotaSettings(
@@ -34,8 +34,8 @@
     horizon_s=3.0,
     wait_s=0.3,
     grace_s=0.0,
-    takeover_part=TAKEOVER_PART,
-    reserved_part=RESERVED_PART,
+    takeover_part=TAKEOVER_FRACTION,
+    reserved_part=RESERVED_FRACTION,
     refused_leave=True,
 )
 
@@ -58,13 +58,15 @@
     and the slack. All the room above the rate goes into the burst, so that as
     little as possible is refused that is allowed.
     """
-    factor = 1 + bounds.quota_overshoot
+    overshoot_factor = 1 + bounds.quota_overshoot
     limits = {}
     for organisation in organisations:
         if organisation.rate > 0:
-            in_window = organisation.rate * bounds.quota_window_s
-            room = (in_window + organisation.burst) * factor + bounds.quota_slack
-            burst = (room - in_window) * LENT_PART
+            refill_tokens = organisation.rate * bounds.quota_window_s
+            max_tokens = (
+                refill_tokens + organisation.burst
+            ) * overshoot_factor + bounds.quota_slack
+            burst = (max_tokens - refill_tokens) * GRANTED_FRACTION
             limits[organisation.name] = EffectiveLimit(organisation.rate, burst)
     return limits
 
--- a/berylnotch/quota/bucket.py
+++ b/berylnotch/quota/bucket.py
@@ -25,7 +25,7 @@
 
 
 @define
-class Loan:
+class OutstandingGrant:
     """Tokens that one router may still charge, as the owner knows.
 
     ``spent`` is the router's total in its present incarnation when it last
@@ -34,7 +34,7 @@
 
     tokens: int
     spent: int
-    ends: float
+    expires_at: float
 
 
 class Bucket:
@@ -55,15 +55,15 @@
     """
 
     def __init__(
-        self, rate: float, burst: float, refill_from: float, level: float = 0.0
+        self, rate: float, burst: float, refill_start: float, level: float = 0.0
     ) -> None:
         self._rate = rate
         self._burst = burst
         self._level = level
-        self._lent = 0
-        self._updated = refill_from
+        self._outstanding = 0
+        self._updated_at = refill_start
         #: Loans by router, the first to end first.
-        self._loans: OrderedDict[str, Loan] = OrderedDict()
+        self._grants: OrderedDict[str, OutstandingGrant] = OrderedDict()
 
     @property
     def level(self) -> float:
@@ -71,9 +71,9 @@
         return self._level
 
     @property
-    def lent(self) -> int:
+    def outstanding(self) -> int:
         """Tokens that routers may still charge."""
-        return self._lent
+        return self._outstanding
 
     @property
     def rate(self) -> float:
@@ -88,26 +88,26 @@
     @property
     def is_idle(self) -> bool:
         """Whether the bucket is full and nothing is lent."""
-        return not self._loans and self._level >= self._burst
+        return not self._grants and self._level >= self._burst
 
     def advance(self, now: float) -> None:
         """Refill up to ``now`` and write off loans that have ended."""
-        while self._loans:
-            router, loan = next(iter(self._loans.items()))
-            if loan.ends > now:
+        while self._grants:
+            router, grant = next(iter(self._grants.items()))
+            if grant.expires_at > now:
                 break
-            self._refill(loan.ends)
-            del self._loans[router]
-            self._lent -= loan.tokens
+            self._refill(grant.expires_at)
+            del self._grants[router]
+            self._outstanding -= grant.tokens
         self._refill(now)
 
     def resize(self, rate: float, burst: float) -> None:
         """Take over changed limits; the level never rises by it."""
         self._rate = rate
         self._burst = burst
-        self._limit()
+        self._cap_level()
 
-    def report(self, router: str, held: int, spent: int) -> int:
+    def record_report(self, router: str, held: int, spent: int) -> int:
         """Take over what a router holds and has spent; return the new use.
 
         Tokens that it neither holds nor spent go back to the level: it gave
@@ -122,21 +122,21 @@
         spent : int
             Tokens that it has charged since it started.
         """
-        loan = self._loans.get(router)
-        if loan is None:
-            loan = Loan(tokens=0, spent=spent, ends=0.0)
-            self._loans[router] = loan
-        used = max(0, spent - loan.spent)
-        kept = min(held, loan.tokens)
-        unused = max(0, loan.tokens - kept - used)
-        self._lent += kept - loan.tokens
-        loan.tokens = kept
-        loan.spent = spent
+        grant = self._grants.get(router)
+        if grant is None:
+            grant = OutstandingGrant(tokens=0, spent=spent, expires_at=0.0)
+            self._grants[router] = grant
+        used = max(0, spent - grant.spent)
+        still_held = min(held, grant.tokens)
+        unused = max(0, grant.tokens - still_held - used)
+        self._outstanding += still_held - grant.tokens
+        grant.tokens = still_held
+        grant.spent = spent
         self._level += unused
-        self._limit()
+        self._cap_level()
         return used
 
-    def lend(self, router: str, tokens: int, ends: float) -> int:
+    def grant(self, router: str, tokens: int, expires_at: float) -> int:
         """Move tokens from the level to a router that has reported.
 
         Returns
@@ -145,22 +145,22 @@
             All tokens that the router may charge until ``ends``, from those
             that it reported as held on.
         """
-        loan = self._loans[router]
-        loan.tokens += tokens
-        loan.ends = ends
-        self._loans.move_to_end(router)
+        grant = self._grants[router]
+        grant.tokens += tokens
+        grant.expires_at = expires_at
+        self._grants.move_to_end(router)
         self._level -= tokens
-        self._lent += tokens
-        return loan.tokens
+        self._outstanding += tokens
+        return grant.tokens
 
     def _refill(self, now: float) -> None:
-        elapsed = now - self._updated
+        elapsed = now - self._updated_at
         if elapsed <= 0:
             return
         self._level += self._rate * elapsed
-        self._updated = now
-        self._limit()
+        self._updated_at = now
+        self._cap_level()
 
-    def _limit(self) -> None:
-        room = max(0.0, self._burst - self._lent)
-        self._level = min(self._level, room)
+    def _cap_level(self) -> None:
+        max_level = max(0.0, self._burst - self._outstanding)
+        self._level = min(self._level, max_level)
--- a/berylnotch/quota/holding.py
+++ b/berylnotch/quota/holding.py
@@ -11,21 +11,21 @@
 from berylnotch.quota.usage import BEST_PRIORITY, UsageAverage
 
 #: Held part of the target below which a router asks for more.
-LOW_PART = 0.5
+LOW_FRACTION = 0.5
 
 #: Multiple of the target above which a router gives tokens back.
-HIGH_PART = 2.0
+HIGH_MULTIPLE = 2.0
 
 #: Part of the lifetime after which held tokens are renewed, and use reported.
-RENEW_PART = 0.5
+RENEW_FRACTION = 0.5
 
 #: Part of the floor that is held for an organisation without requests, so that its
 #: first one is served while there is no owner.
-IDLE_PART = 0.25
+IDLE_FRACTION = 0.25
 
 
 @define
-class Holding:
+class OrganisationQuota:
     """One organisation at one router.
 
     Parameters
@@ -65,22 +65,22 @@
     settings: QuotaSettings
     usage: UsageAverage
     tokens: int = 0
-    ends: float = -math.inf
+    expires_at: float = -math.inf
     spent: int = 0
-    reported: int = 0
-    asked: float = -math.inf
+    reported_spent: int = 0
+    asked_at: float = -math.inf
     is_answered: bool = True
     want: int = 0
-    first: int = 0
+    first_want: int = 0
     priority: int = BEST_PRIORITY
     retry_at: float = -math.inf
-    asked_first: int = 0
-    has_place: bool = False
-    floor: int = 0
+    asked_first_want: int = 0
+    is_queued_at_owner: bool = False
+    min_held: int = 0
 
     def balance(self, now: float) -> int:
         """Return the tokens that may be charged at ``now``."""
-        return self.tokens if now < self.ends else 0
+        return self.tokens if now < self.expires_at else 0
 
     def charge(self, now: float, tokens: int) -> bool:
         """Charge tokens if they are held."""
@@ -91,59 +91,65 @@
         self.usage.add(now, tokens)
         return True
 
-    def ask(self, now: float, organisation: str) -> QuotaAsk | None:
+    def build_ask(self, now: float, organisation: str) -> QuotaAsk | None:
         """Return the line for the owner, or none if there is no need yet.
 
         Tokens above the target are given up. So are all of them if they are
         too few for the first waiting work, so that two routers do not block
         each other by holding a part each.
         """
-        target = self._target(now)
-        if not self._is_due(now, target):
+        target_tokens = self._target_tokens(now)
+        if not self._is_due(now, target_tokens):
             return None
         held = self.balance(now)
-        if self.first > held:
+        if self.first_want > held:
             held = 0
-        self.tokens = min(held, target)
-        self.reported = self.spent
-        self.asked = now
-        self.asked_first = self.first
+        self.tokens = min(held, target_tokens)
+        self.reported_spent = self.spent
+        self.asked_at = now
+        self.asked_first_want = self.first_want
         self.is_answered = False
-        waiting = max(0, self.first - self.tokens)
+        waiting = max(0, self.first_want - self.tokens)
         return QuotaAsk(
             organisation=organisation,
-            want=target - self.tokens,
+            want=target_tokens - self.tokens,
             held=self.tokens,
             spent=self.spent,
             waiting=waiting,
             queued=max(waiting, self.want - self.tokens),
         )
 
-    def take(self, counted_from: float, grant: Grant) -> None:
+    def apply_grant(self, lifetime_start: float, grant: Grant) -> None:
         """Take a grant whose lifetime counts from ``counted_from``."""
-        charged_since = self.spent - self.reported
+        charged_since = self.spent - self.reported_spent
         self.tokens = max(0, grant.tokens - charged_since)
-        self.ends = counted_from + grant.lifetime_ms / 1000
+        self.expires_at = lifetime_start + grant.lifetime_ms / 1000
         self.is_answered = True
         is_refused = grant.retry_after_ms > 0 and self.settings.refused_leave
-        self.has_place = grant.tokens < self.asked_first and not is_refused
+        self.is_queued_at_owner = (
+            grant.tokens < self.asked_first_want and not is_refused
+        )
         self.priority = grant.priority
         self.retry_at = -math.inf
         if grant.retry_after_ms:
-            self.retry_at = counted_from + grant.retry_after_ms / 1000
+            self.retry_at = lifetime_start + grant.retry_after_ms / 1000
 
-    def _target(self, now: float) -> int:
-        use = self.usage.per_s(now)
-        ahead = int(use * self.settings.horizon_s)
-        floor = self.floor if use >= 1 else int(self.floor * IDLE_PART)
-        return max(ahead, floor) + self.want
+    def _target_tokens(self, now: float) -> int:
+        use_per_s = self.usage.per_s(now)
+        expected_use = int(use_per_s * self.settings.horizon_s)
+        min_held = (
+            self.min_held if use_per_s >= 1 else int(self.min_held * IDLE_FRACTION)
+        )
+        return max(expected_use, min_held) + self.want
 
-    def _is_due(self, now: float, target: int) -> bool:
+    def _is_due(self, now: float, target_tokens: int) -> bool:
         held = self.balance(now)
         # Work that was refused meanwhile gives up its place to that of others.
-        if self.want or not self.is_answered or self.has_place:
+        if self.want or not self.is_answered or self.is_queued_at_owner:
             return True
-        if held < LOW_PART * target or held > HIGH_PART * target:
+        if held < LOW_FRACTION * target_tokens or held > HIGH_MULTIPLE * target_tokens:
             return True
-        is_old = now - self.asked >= RENEW_PART * self.settings.lifetime_s
-        return is_old and (held > 0 or self.spent != self.reported)
+        is_renewal_due = (
+            now - self.asked_at >= RENEW_FRACTION * self.settings.lifetime_s
+        )
+        return is_renewal_due and (held > 0 or self.spent != self.reported_spent)
--- a/berylnotch/quota/local.py
+++ b/berylnotch/quota/local.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from berylnotch.quota.errors import InvalidChargeError
-from berylnotch.quota.holding import Holding
+from berylnotch.quota.holding import OrganisationQuota
 from berylnotch.quota.usage import BEST_PRIORITY, UsageAverage
 
 if TYPE_CHECKING:
@@ -29,13 +29,13 @@
 
     def __init__(self, settings: QuotaSettings) -> None:
         self._settings = settings
-        self._holdings: dict[str, Holding] = {}
+        self._quotas: dict[str, OrganisationQuota] = {}
         self._now = -math.inf
         self._sequence = 0
-        self._is_open = False
-        self._opened = self._opened_before = -math.inf
+        self._is_exchange_open = False
+        self._opened_at = self._previous_opened_at = -math.inf
         self._owner_term = 0
-        self._is_urgent = False
+        self._is_ask_urgent = False
         self._ask_interval_s = settings.ask_interval_s
 
     @property
@@ -54,11 +54,11 @@
 
         While one is on its way, this is when to give it up.
         """
-        if self._is_open:
-            return self._opened + self._settings.reply_timeout_s
-        if self._is_urgent:
-            return self._opened + self._settings.min_ask_gap_s
-        return self._opened + self._ask_interval_s
+        if self._is_exchange_open:
+            return self._opened_at + self._settings.reply_timeout_s
+        if self._is_ask_urgent:
+            return self._opened_at + self._settings.min_ask_gap_s
+        return self._opened_at + self._ask_interval_s
 
     def asks(self, now: float) -> tuple[QuotaAsk, ...]:
         """Open an exchange with the owner and return its lines.
@@ -66,13 +66,15 @@
         The request must carry `sequence`, and is also sent without lines, as
         the router's heartbeat.
         """
-        self._advance(now)
+        self._advance_clock(now)
         self._sequence += 1
-        self._is_open = True
-        self._is_urgent = False
-        self._opened_before, self._opened = self._opened, self._now
-        lines = (h.ask(self._now, name) for name, h in self._holdings.items())
-        return tuple(line for line in lines if line is not None)
+        self._is_exchange_open = True
+        self._is_ask_urgent = False
+        self._previous_opened_at, self._opened_at = self._opened_at, self._now
+        candidates = (
+            quota.build_ask(self._now, name) for name, quota in self._quotas.items()
+        )
+        return tuple(ask for ask in candidates if ask is not None)
 
     def receive(self, sent_at: float, reply: GrantReply) -> bool:
         """Take the reply of the open exchange; return whether it was taken.
@@ -84,37 +86,37 @@
         reply : GrantReply
             The owner's answer; a late or repeated one is left out.
         """
-        if not self._is_open or reply.sequence != self._sequence:
+        if not self._is_exchange_open or reply.sequence != self._sequence:
             return False
-        self._is_open = False
+        self._is_exchange_open = False
         self._owner_term = reply.owner_term
-        counted_from = min(sent_at, self._opened)
+        lifetime_start = min(sent_at, self._opened_at)
         for grant in reply.grants:
-            holding = self._holdings.get(grant.organisation)
-            if holding is not None:
-                holding.take(counted_from, grant)
+            quota = self._quotas.get(grant.organisation)
+            if quota is not None:
+                quota.apply_grant(lifetime_start, grant)
         return True
 
     def charge(self, now: float, organisation: str, tokens: int) -> bool:
         """Charge tokens if they are held; return whether they were charged."""
         if tokens < 0:
             raise InvalidChargeError(f"charge of {tokens} tokens")
-        self._advance(now)
-        return self._holding(organisation).charge(self._now, tokens)
+        self._advance_clock(now)
+        return self._get_quota(organisation).charge(self._now, tokens)
 
     def balance(self, now: float, organisation: str) -> int:
         """Return the tokens that may be charged at ``now``."""
-        self._advance(now)
-        holding = self._holdings.get(organisation)
-        return 0 if holding is None else holding.balance(self._now)
+        self._advance_clock(now)
+        quota = self._quotas.get(organisation)
+        return 0 if quota is None else quota.balance(self._now)
 
     def withdraw(self) -> None:
         """State that the newest request is not sent, since it has no lines.
 
         Otherwise work that begins to wait would wait for its answer first.
         """
-        self._is_open = False
-        self._opened = self._opened_before
+        self._is_exchange_open = False
+        self._opened_at = self._previous_opened_at
 
     def want(self, organisation: str, tokens: int, first: int | None = None) -> None:
         """State how many tokens the waiting work needs; 0 if none waits.
@@ -130,12 +132,12 @@
         """
         if tokens < 0:
             raise InvalidChargeError(f"want of {tokens} tokens")
-        holding = self._holding(organisation)
-        has_given_up = holding.has_place and holding.want > 0 and not tokens
-        if has_given_up or tokens and not holding.want:
-            self._is_urgent = True
-        holding.want = tokens
-        holding.first = tokens if first is None else min(first, tokens)
+        quota = self._get_quota(organisation)
+        has_stopped_waiting = quota.is_queued_at_owner and quota.want > 0 and not tokens
+        if has_stopped_waiting or tokens and not quota.want:
+            self._is_ask_urgent = True
+        quota.want = tokens
+        quota.first_want = tokens if first is None else min(first, tokens)
 
     def pace(self, interval_s: float) -> None:
         """State the time between two requests while no work waits, in seconds."""
@@ -143,21 +145,21 @@
 
     def keep(self, organisation: str, tokens: int) -> None:
         """State how many tokens should be held while an organisation is in use."""
-        self._holding(organisation).floor = tokens
+        self._get_quota(organisation).min_held = tokens
 
     def release(self, now: float) -> None:
         """Give up all tokens, for a planned stop; the next `asks` says so."""
-        self._advance(now)
-        for holding in self._holdings.values():
-            holding.tokens = 0
-            holding.want = 0
-            holding.first = 0
-            holding.is_answered = False
+        self._advance_clock(now)
+        for quota in self._quotas.values():
+            quota.tokens = 0
+            quota.want = 0
+            quota.first_want = 0
+            quota.is_answered = False
 
     def priority(self, organisation: str) -> int:
         """Return the organisation's priority for engines, 0 (best) to 9."""
-        holding = self._holdings.get(organisation)
-        return BEST_PRIORITY if holding is None else holding.priority
+        quota = self._quotas.get(organisation)
+        return BEST_PRIORITY if quota is None else quota.priority
 
     def retry_after_ms(self, organisation: str) -> int:
         """Return when to come back, or 0 if work should wait for tokens.
@@ -165,18 +167,18 @@
         It is positive only if the owner said within the last lifetime that the
         organisation has used up what its rate and burst allow.
         """
-        holding = self._holdings.get(organisation)
-        if holding is None or self._now >= holding.ends:
+        quota = self._quotas.get(organisation)
+        if quota is None or self._now >= quota.expires_at:
             return 0
-        return math.ceil(max(0.0, holding.retry_at - self._now) * 1000)
+        return math.ceil(max(0.0, quota.retry_at - self._now) * 1000)
 
-    def _advance(self, now: float) -> None:
+    def _advance_clock(self, now: float) -> None:
         self._now = max(self._now, now)
 
-    def _holding(self, organisation: str) -> Holding:
-        holding = self._holdings.get(organisation)
-        if holding is None:
+    def _get_quota(self, organisation: str) -> OrganisationQuota:
+        quota = self._quotas.get(organisation)
+        if quota is None:
             usage = UsageAverage(self._settings.demand_window_s, self._now)
-            holding = Holding(self._settings, usage)
-            self._holdings[organisation] = holding
-        return holding
+            quota = OrganisationQuota(self._settings, usage)
+            self._quotas[organisation] = quota
+        return quota
--- a/berylnotch/quota/owner.py
+++ b/berylnotch/quota/owner.py
@@ -10,7 +10,7 @@
 from berylnotch.quota.bucket import Bucket
 from berylnotch.quota.messages import Grant, GrantReply
 from berylnotch.quota.usage import BEST_PRIORITY, UsageAverage, usage_priority
-from berylnotch.quota.waiting import WaitingLine
+from berylnotch.quota.waiting import WaitQueue
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -23,21 +23,21 @@
 SWEEP_INTERVAL_S = 1.0
 
 #: Time for which the sequence number of a silent router is kept, in seconds.
-ROUTER_KEPT_S = 600.0
+ROUTER_RETENTION_S = 600.0
 
 
 @define
 class _Account:
     bucket: Bucket
     usage: UsageAverage
-    waiting: WaitingLine
+    waiting: WaitQueue
     share: float
 
 
 @define
-class _Router:
+class _RouterState:
     sequence: int
-    heard: float
+    last_request_at: float
 
 
 class QuotaOwner:
@@ -59,15 +59,15 @@
     def __init__(self, settings: QuotaSettings, term: int, now: float) -> None:
         self._settings = settings
         self._term = term
-        self._started = now
+        self._started_at = now
         self._now = now
-        is_waiting = not settings.takeover_part
-        self._steady_from = now + (settings.owner_lifetime_s if is_waiting else 0.0)
+        has_to_wait = not settings.takeover_part
+        self._steady_from = now + (settings.owner_lifetime_s if has_to_wait else 0.0)
         self._accounts: dict[str, _Account] = {}
-        self._routers: dict[str, _Router] = {}
+        self._routers: dict[str, _RouterState] = {}
         self._total_use = UsageAverage(settings.usage_window_s, now)
         self._total_share = 0.0
-        self._swept = -math.inf
+        self._swept_at = -math.inf
 
     @property
     def term(self) -> int:
@@ -104,12 +104,12 @@
         """
         self._now = max(self._now, now)
         router = f"{request.vm}/{request.incarnation}"
-        is_new = self._is_new(router, request.sequence)
-        if not is_new or self._now < self._steady_from:
+        is_newer = self._record_sequence(router, request.sequence)
+        if not is_newer or self._now < self._steady_from:
             return GrantReply(self._term, request.sequence)
         self._sweep(organisations)
         grants = tuple(
-            self._answer(router, ask, organisations[ask.organisation])
+            self._grant_ask(router, ask, organisations[ask.organisation])
             for ask in request.asks
             if ask.organisation in organisations
         )
@@ -138,76 +138,76 @@
             return 0.0
         return account.usage.per_s(now)
 
-    def _is_new(self, router: str, sequence: int) -> bool:
-        known = self._routers.get(router)
-        if known is not None and sequence <= known.sequence:
+    def _record_sequence(self, router: str, sequence: int) -> bool:
+        router_state = self._routers.get(router)
+        if router_state is not None and sequence <= router_state.sequence:
             return False
-        self._routers[router] = _Router(sequence, self._now)
+        self._routers[router] = _RouterState(sequence, self._now)
         return True
 
-    def _answer(self, router: str, ask: QuotaAsk, limit: Limit) -> Grant:
-        account = self._account(ask.organisation, limit)
+    def _grant_ask(self, router: str, ask: QuotaAsk, limit: Limit) -> Grant:
+        account = self._get_account(ask.organisation, limit)
         bucket = account.bucket
-        used = bucket.report(router, ask.held, ask.spent)
+        used = bucket.record_report(router, ask.held, ask.spent)
         account.usage.add(self._now, used)
         self._total_use.add(self._now, used)
-        tokens = self._size(account, router, ask)
-        ends = self._now + self._settings.owner_lifetime_s
+        tokens = self._grant_size(account, router, ask)
+        expires_at = self._now + self._settings.owner_lifetime_s
         return Grant(
             organisation=ask.organisation,
-            tokens=bucket.lend(router, tokens, ends),
+            tokens=bucket.grant(router, tokens, expires_at),
             lifetime_ms=int(self._settings.lifetime_s * 1000),
             priority=self._priority(account),
             retry_after_ms=self._retry_after_ms(account, router),
         )
 
-    def _account(self, name: str, limit: Limit) -> _Account:
+    def _get_account(self, name: str, limit: Limit) -> _Account:
         account = self._accounts.get(name)
         if account is None:
             account = _Account(
                 self._new_bucket(limit),
                 UsageAverage(self._settings.usage_window_s, self._now),
-                WaitingLine(self._settings.lifetime_s / 2),
+                WaitQueue(self._settings.lifetime_s / 2),
                 limit.share,
             )
             self._accounts[name] = account
         account.bucket.advance(self._now)
         account.bucket.resize(limit.rate, limit.burst)
-        account.waiting.clean(self._now)
+        account.waiting.expire(self._now)
         account.share = limit.share
         return account
 
     def _new_bucket(self, limit: Limit) -> Bucket:
-        first = limit.burst * self._settings.takeover_part
-        return Bucket(limit.rate, limit.burst, self._steady_from, first)
+        initial_level = limit.burst * self._settings.takeover_part
+        return Bucket(limit.rate, limit.burst, self._steady_from, initial_level)
 
-    def _size(self, account: _Account, router: str, ask: QuotaAsk) -> int:
+    def _grant_size(self, account: _Account, router: str, ask: QuotaAsk) -> int:
         """Return the tokens to lend: nothing, or enough for the first work."""
         waiting = account.waiting
         level = account.bucket.level
-        free = int(level - waiting.needed_before(router, level))
+        available = int(level - waiting.needed_ahead_of(router, level))
         if ask.waiting > account.bucket.burst:
-            waiting.leave(router)
+            waiting.remove(router)
             return 0
-        if ask.waiting and free < ask.waiting:
-            waiting.enter(self._now, router, ask.queued or ask.want, ask.waiting)
+        if ask.waiting and available < ask.waiting:
+            waiting.enqueue(self._now, router, ask.queued or ask.want, ask.waiting)
             return 0
-        waiting.leave(router)
+        waiting.remove(router)
         reserved = account.bucket.burst * self._settings.reserved_part
-        spare = max(0, int(free - ask.waiting - reserved))
-        ahead = min(ask.want - ask.waiting, spare // (len(waiting) + 1))
-        return ask.waiting + max(0, ahead)
+        unreserved = max(0, int(available - ask.waiting - reserved))
+        advance_tokens = min(ask.want - ask.waiting, unreserved // (len(waiting) + 1))
+        return ask.waiting + max(0, advance_tokens)
 
     def _retry_after_ms(self, account: _Account, router: str) -> int:
         """Return when a waiting router's work should come back, 0 if it may wait on."""
-        if self._now < self._started + self._settings.grace_s:
+        if self._now < self._started_at + self._settings.grace_s:
             return 0
-        missing = account.waiting.wanted_until(router) - account.bucket.level
-        wait_s = missing / account.bucket.rate
+        missing_tokens = account.waiting.wanted_through(router) - account.bucket.level
+        wait_s = missing_tokens / account.bucket.rate
         if wait_s <= self._settings.wait_s:
             return 0
         if self._settings.refused_leave:
-            account.waiting.leave(router)
+            account.waiting.remove(router)
         return math.ceil(wait_s * 1000)
 
     def _priority(self, account: _Account) -> int:
@@ -219,18 +219,18 @@
 
     def _sweep(self, organisations: Mapping[str, Limit]) -> None:
         """Sum the shares in use, and forget what is not needed any more."""
-        if self._now - self._swept < SWEEP_INTERVAL_S:
+        if self._now - self._swept_at < SWEEP_INTERVAL_S:
             return
-        self._swept = self._now
+        self._swept_at = self._now
         self._total_share = sum(
             account.share
             for account in self._accounts.values()
             if account.usage.per_s(self._now) >= 1
         )
-        self._forget_organisations(organisations)
-        self._forget_routers()
+        self._drop_removed_organisations(organisations)
+        self._drop_inactive_routers()
 
-    def _forget_organisations(self, organisations: Mapping[str, Limit]) -> None:
+    def _drop_removed_organisations(self, organisations: Mapping[str, Limit]) -> None:
         removed = [name for name in self._accounts if name not in organisations]
         for name in removed:
             bucket = self._accounts[name].bucket
@@ -238,8 +238,12 @@
             if bucket.is_idle:
                 del self._accounts[name]
 
-    def _forget_routers(self) -> None:
-        oldest = self._now - ROUTER_KEPT_S
-        silent = [name for name, r in self._routers.items() if r.heard < oldest]
-        for name in silent:
+    def _drop_inactive_routers(self) -> None:
+        oldest_kept = self._now - ROUTER_RETENTION_S
+        inactive = [
+            name
+            for name, router in self._routers.items()
+            if router.last_request_at < oldest_kept
+        ]
+        for name in inactive:
             del self._routers[name]
--- a/berylnotch/quota/usage.py
+++ b/berylnotch/quota/usage.py
@@ -31,7 +31,7 @@
     def __init__(self, window_s: float, now: float) -> None:
         self._window_s = window_s
         self._tokens = 0.0
-        self._updated = now
+        self._updated_at = now
 
     def add(self, now: float, tokens: float) -> None:
         """Count tokens used at ``now``."""
@@ -44,14 +44,16 @@
         return self._tokens / self._window_s
 
     def _decay(self, now: float) -> None:
-        elapsed = now - self._updated
+        elapsed = now - self._updated_at
         if elapsed <= 0:
             return
         self._tokens *= math.exp(-elapsed / self._window_s)
-        self._updated = now
+        self._updated_at = now
 
 
-def usage_priority(use: float, share: float, total_use: float, total: float) -> int:
+def usage_priority(
+    use: float, share: float, total_use: float, total_share: float
+) -> int:
     """Return the priority of an organisation, 0 (best) to 9.
 
     Parameters
@@ -63,6 +65,6 @@
     """
     if use <= 0 or total_use <= 0:
         return BEST_PRIORITY
-    ratio = (use / share) / (total_use / total)
-    step = round(EVEN_PRIORITY + STEPS_PER_DOUBLING * math.log2(ratio))
-    return max(BEST_PRIORITY, min(WORST_PRIORITY, step))
+    ratio = (use / share) / (total_use / total_share)
+    priority = round(EVEN_PRIORITY + STEPS_PER_DOUBLING * math.log2(ratio))
+    return max(BEST_PRIORITY, min(WORST_PRIORITY, priority))
--- a/berylnotch/quota/waiting.py
+++ b/berylnotch/quota/waiting.py
@@ -6,15 +6,15 @@
 
 
 @define
-class _Entry:
+class _WaitingRouter:
     """``asked`` is when the router last said that it waits."""
 
     want: int
-    first: int
-    asked: float
+    first_want: int
+    asked_at: float
 
 
-class WaitingLine:
+class WaitQueue:
     """Order in which waiting routers are served.
 
     A router keeps its place until it gets what its first work needs. What
@@ -27,15 +27,15 @@
         Time after which a router that has not asked again loses its place.
     """
 
-    def __init__(self, keep_s: float) -> None:
-        self._keep_s = keep_s
-        self._entries: dict[str, _Entry] = {}
-        self._cleaned = 0.0
+    def __init__(self, retention_s: float) -> None:
+        self._retention_s = retention_s
+        self._entries: dict[str, _WaitingRouter] = {}
+        self._expired_at = 0.0
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def wanted_until(self, router: str) -> int:
+    def wanted_through(self, router: str) -> int:
         """Return what a router and those before it want, 0 if it has no place."""
         if router not in self._entries:
             return 0
@@ -46,31 +46,35 @@
                 break
         return wanted
 
-    def clean(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop routers that have not asked again."""
-        if now - self._cleaned < self._keep_s:
+        if now - self._expired_at < self._retention_s:
             return
-        self._cleaned = now
-        oldest = now - self._keep_s
-        gone = [name for name, entry in self._entries.items() if entry.asked < oldest]
-        for name in gone:
-            self.leave(name)
-
-    def enter(self, now: float, router: str, want: int, first: int) -> None:
+        self._expired_at = now
+        oldest_kept = now - self._retention_s
+        expired = [
+            name
+            for name, entry in self._entries.items()
+            if entry.asked_at < oldest_kept
+        ]
+        for name in expired:
+            self.remove(name)
+
+    def enqueue(self, now: float, router: str, want: int, first_want: int) -> None:
         """Give the router a place, or keep the one that it has."""
         entry = self._entries.get(router)
         if entry is None:
-            entry = _Entry(0, 0, now)
+            entry = _WaitingRouter(0, 0, now)
             self._entries[router] = entry
         entry.want = want
-        entry.first = first
-        entry.asked = now
+        entry.first_want = first_want
+        entry.asked_at = now
 
-    def leave(self, router: str) -> None:
+    def remove(self, router: str) -> None:
         """Give up the router's place, if it has one."""
         self._entries.pop(router, None)
 
-    def needed_before(self, router: str, level: float) -> int:
+    def needed_ahead_of(self, router: str, level: float) -> int:
         """Return what the routers before this one need.
 
         The sum is cut short once it exceeds ``level``.
@@ -79,5 +83,5 @@
         for name, entry in self._entries.items():
             if name == router or needed > level:
                 break
-            needed += entry.first
+            needed += entry.first_want
         return needed
--- a/tests/test_admission/test_properties.py
+++ b/tests/test_admission/test_properties.py
@@ -33,20 +33,20 @@
     for number, pair in enumerate(costs):
         for name, cost, share in zip("ab", pair, shares, strict=True):
             queue.offer(0.0, Ticket(f"{name}{number}", name, share, cost, 9.0, 0.0))
-    largest = [max(pair[i] for pair in costs) / shares[i] for i in (0, 1)]
+    max_normalised_cost = [max(pair[i] for pair in costs) / shares[i] for i in (0, 1)]
     lead, lowest, highest = 0.0, 0.0, 0.0
-    left = {"a": len(costs), "b": len(costs)}
-    while min(left.values()) > 0:
+    n_left = {"a": len(costs), "b": len(costs)}
+    while min(n_left.values()) > 0:
         served = queue.pop(0.0, lambda _: True)
-        left[served.organisation] -= 1
+        n_left[served.organisation] -= 1
         sign = 1 if served.organisation == "a" else -1
         lead += sign * served.cost / served.share
         lowest, highest = min(lowest, lead), max(highest, lead)
-        assert highest - lead <= sum(largest) + 1e-9
-        assert lead - lowest <= sum(largest) + 1e-9
+        assert highest - lead <= sum(max_normalised_cost) + 1e-9
+        assert lead - lowest <= sum(max_normalised_cost) + 1e-9
 
 
-class Queue(RuleBasedStateMachine):
+class FairQueueMachine(RuleBasedStateMachine):
     """Every request offered is refused, or leaves exactly once."""
 
     def __init__(self):
@@ -56,48 +56,52 @@
         self.waiting = {}
         self.now = 0.0
 
-    @rule(seconds=st.sampled_from([0.001, 0.02, 0.5, 3.0]))
-    def wait(self, seconds):
-        self.now += seconds
+    @rule(elapsed_s=st.sampled_from([0.001, 0.02, 0.5, 3.0]))
+    def wait(self, elapsed_s):
+        self.now += elapsed_s
 
     @rule(
         organisation=st.sampled_from(ORGANISATIONS),
         count=st.sampled_from([1, 3, 15]),
-        patience=st.sampled_from([0.5, 10.0]),
+        timeout_s=st.sampled_from([0.5, 10.0]),
         cost=st.sampled_from([1.0, 500.0]),
     )
-    def offer(self, organisation, count, patience, cost):
+    def offer(self, organisation, count, timeout_s, cost):
         for _ in range(count):
             identity = str(next(self.numbers))
-            deadline = self.now + patience
+            deadline = self.now + timeout_s
             ticket = Ticket(identity, organisation, 1.0, cost, deadline, self.now)
-            self.check(ticket, self.queue.offer(self.now, ticket))
+            self.check_outcome(ticket, self.queue.offer(self.now, ticket))
 
-    def check(self, ticket, refusal):
-        own = [
+    def check_outcome(self, ticket, refusal):
+        own_tickets = [
             t for t in self.waiting.values() if t.organisation == ticket.organisation
         ]
-        free = MAX_TICKETS - len(self.waiting)
+        n_free = MAX_TICKETS - len(self.waiting)
         if refusal is None:
             self.waiting[ticket.identity] = ticket
-            assert free > 0
+            assert n_free > 0
             return
         assert refusal.retry_after_ms > 0
         if refusal.reason is RefusalReason.QUEUE_FULL:
-            assert free == 0
+            assert n_free == 0
         elif refusal.reason is RefusalReason.ORGANISATION_FULL:
-            assert len(own) >= free
+            assert len(own_tickets) >= n_free
         else:
-            assert refusal.reason is RefusalReason.WAIT_TOO_LONG and own
+            assert refusal.reason is RefusalReason.WAIT_TOO_LONG and own_tickets
 
-    @rule(fitting=st.sets(st.sampled_from(ORGANISATIONS)))
-    def pop(self, fitting):
+    @rule(fitting_organisations=st.sets(st.sampled_from(ORGANISATIONS)))
+    def pop(self, fitting_organisations):
         def fits(ticket):
-            return Fit.FITS if ticket.organisation in fitting else Fit.NO_TOKENS
+            return (
+                Fit.FITS
+                if ticket.organisation in fitting_organisations
+                else Fit.NO_TOKENS
+            )
 
         ticket = self.queue.pop(self.now, fits)
         if ticket is not None:
-            assert ticket.organisation in fitting
+            assert ticket.organisation in fitting_organisations
             assert ticket.deadline > self.now
             assert self.waiting.pop(ticket.identity) is ticket
 
@@ -110,10 +114,10 @@
             assert self.waiting.pop(ticket.identity) is ticket
         assert all(t.deadline <= self.now for t in self.waiting.values())
 
-    @rule(pick=st.integers(0, 100))
-    def cancel(self, pick):
+    @rule(index=st.integers(0, 100))
+    def cancel(self, index):
         if self.waiting:
-            identity = sorted(self.waiting)[pick % len(self.waiting)]
+            identity = sorted(self.waiting)[index % len(self.waiting)]
             assert self.queue.cancel(self.waiting.pop(identity))
 
     @rule()
@@ -133,5 +137,5 @@
         assert self.queue.n_entries <= 3 * (2 * MAX_TICKETS + 65) + 2 * MAX_TICKETS
 
 
-Queue.TestCase.settings = settings(max_examples=150, stateful_step_count=50)
-TestQueue = Queue.TestCase
+FairQueueMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=50)
+TestFairQueue = FairQueueMachine.TestCase
--- a/tests/test_admission/test_queue.py
+++ b/tests/test_admission/test_queue.py
@@ -22,7 +22,7 @@
     return Ticket(identity, organisation, share, cost, deadline, 0.0, priority)
 
 
-def drain(queue, count):
+def pop_organisations(queue, count):
     return [queue.pop(0.0, lambda _: True).organisation for _ in range(count)]
 
 
@@ -35,26 +35,26 @@
     for _ in range(40):
         queue.offer(0.0, ticket("university"))
     queue.offer(0.0, ticket("clinic"))
-    assert "clinic" in drain(queue, 2)
+    assert "clinic" in pop_organisations(queue, 2)
 
 
 def test_service_follows_the_shares(queue):
     for _ in range(20):
         queue.offer(0.0, ticket("large", share=3.0))
         queue.offer(0.0, ticket("small", share=1.0))
-    served = drain(queue, 16)
+    served = pop_organisations(queue, 16)
     assert served.count("large") == 12
 
 
-def test_worse_priority_counts_for_less(queue):
+def test_worse_priority_lowers_the_weight(queue):
     for _ in range(20):
         queue.offer(0.0, ticket("heavy", priority=6))
         queue.offer(0.0, ticket("light", priority=4))
-    served = drain(queue, 18)
+    served = pop_organisations(queue, 18)
     assert served.count("light") == 12
 
 
-def test_large_organisation_leaves_places_for_others(queue):
+def test_large_organisation_leaves_queue_slots_for_others(queue):
     refusals = [queue.offer(0.0, ticket("university")) for _ in range(100)]
     assert refusals[-1].reason is RefusalReason.ORGANISATION_FULL
     assert queue.offer(0.0, ticket("clinic")) is None
@@ -68,16 +68,16 @@
 
 
 def test_expired_and_cancelled_requests_are_never_served(queue):
-    soon, given_up = ticket(deadline=1.0), ticket()
-    queue.offer(0.0, soon)
-    queue.offer(0.0, given_up)
-    assert queue.expire(1.0) == (soon,)
-    assert queue.cancel(given_up)
-    assert not queue.cancel(given_up)
+    expiring, cancelled = ticket(deadline=1.0), ticket()
+    queue.offer(0.0, expiring)
+    queue.offer(0.0, cancelled)
+    assert queue.expire(1.0) == (expiring,)
+    assert queue.cancel(cancelled)
+    assert not queue.cancel(cancelled)
     assert queue.pop(1.0, lambda _: True) is None
 
 
-def test_slowly_served_backlog_refuses_early_with_the_time_it_needs(queue):
+def test_slowly_served_backlog_refuses_early_with_its_expected_wait(queue):
     for step in range(40):
         queue.offer(step / 10, ticket())
     for step in range(4):
@@ -104,12 +104,12 @@
     assert queue.pop(0.0, lambda _: True) is waiting
 
 
-def test_overdue_head_does_not_hide_the_next_request(queue):
-    overdue, fresh = ticket(deadline=1.0), ticket()
-    queue.offer(0.0, overdue)
-    queue.offer(0.0, fresh)
-    assert queue.pop(2.0, lambda _: True) is fresh
-    assert queue.expire(2.0) == (overdue,)
+def test_expired_head_does_not_block_the_next_request(queue):
+    expired, live = ticket(deadline=1.0), ticket()
+    queue.offer(0.0, expired)
+    queue.offer(0.0, live)
+    assert queue.pop(2.0, lambda _: True) is live
+    assert queue.expire(2.0) == (expired,)
 
 
 def test_next_request_is_considered_once_a_head_without_tokens_is_cancelled(queue):
--- a/tests/test_admission/test_retry.py
+++ b/tests/test_admission/test_retry.py
@@ -19,20 +19,20 @@
 
 @given(
     number=st.integers(1, 5),
-    idempotent=st.booleans(),
+    is_idempotent=st.booleans(),
     mark=st.sampled_from(RunMark),
-    left_s=st.floats(-1, 3),
+    remaining_s=st.floats(-1, 3),
     has_budget=st.booleans(),
 )
 def test_a_retry_is_always_safe_and_in_time(
-    number, idempotent, mark, left_s, has_budget
+    number, is_idempotent, mark, remaining_s, has_budget
 ):
-    attempt = Attempt(number, idempotent, mark, deadline=left_s, expected_s=1.0)
+    attempt = Attempt(number, is_idempotent, mark, deadline=remaining_s, expected_s=1.0)
     decision = may_retry(SETTINGS, 0.0, attempt, has_budget)
     if decision is RetryDecision.RETRY:
-        assert idempotent or mark is RunMark.NOT_RUN
+        assert is_idempotent or mark is RunMark.NOT_RUN
         assert mark is not RunMark.RAN
-        assert number < SETTINGS.max_attempts and left_s > 1.0 and has_budget
+        assert number < SETTINGS.max_attempts and remaining_s > 1.0 and has_budget
 
 
 def test_idempotent_request_of_unknown_outcome_is_repeated():
@@ -41,10 +41,10 @@
 
 
 @given(st.lists(st.booleans(), max_size=300))
-def test_retries_stay_a_part_of_the_first_attempts(calls):
+def test_retries_stay_within_the_ratio_to_first_attempts(attempts):
     budget = RetryBudget(SETTINGS)
     earned = spent = 0
-    for is_first in calls:
+    for is_first in attempts:
         if is_first:
             budget.earn()
             earned += 1
--- a/tests/test_admission/test_window.py
+++ b/tests/test_admission/test_window.py
@@ -16,22 +16,22 @@
         max_size=400,
     )
 )
-def test_no_window_holds_more_retries_than_it_may(calls):
-    budget, now, firsts, retries = WindowBudget(SETTINGS, WINDOW_S), 0.0, [], []
-    for pause_s, kind in calls:
+def test_no_window_exceeds_its_retry_budget(attempts):
+    budget, now, first_attempts, retries = WindowBudget(SETTINGS, WINDOW_S), 0.0, [], []
+    for pause_s, kind in attempts:
         now += pause_s
         if kind == "first":
             budget.earn(now)
-            firsts.append(now)
+            first_attempts.append(now)
         elif budget.spend(now):
             retries.append(now)
             start = now - WINDOW_S
             spent = sum(start <= at for at in retries)
-            earned = sum(start <= at for at in firsts)
+            earned = sum(start <= at for at in first_attempts)
             assert spent <= SETTINGS.reserve + SETTINGS.ratio * earned + 1e-9
 
 
-def test_a_burst_of_failures_uses_what_the_window_earned():
+def test_burst_of_failures_can_use_the_whole_budget_of_the_window():
     # A token bucket that saves no more than its reserve would allow three.
     budget = WindowBudget(SETTINGS, WINDOW_S)
     for n in range(90):
@@ -39,14 +39,14 @@
     assert sum(budget.spend(9.0) for _ in range(50)) == 21
 
 
-def test_what_was_spent_counts_until_the_window_is_over():
+def test_retries_count_until_they_leave_the_window():
     budget = WindowBudget(SETTINGS, WINDOW_S)
     assert [budget.spend(1.0) for _ in range(4)] == [True, True, True, False]
     assert not budget.has_room(10.9)
     assert budget.has_room(12.0)
 
 
-def test_smaller_bounds_count_what_was_spent():
+def test_reduced_reserve_still_counts_earlier_retries():
     budget = WindowBudget(SETTINGS, WINDOW_S)
     assert budget.spend(1.0) and budget.spend(1.0)
     budget.resize(RetrySettings(ratio=0.2, reserve=1.0))
--- a/tests/test_quota/fakes.py
+++ b/tests/test_quota/fakes.py
@@ -9,7 +9,7 @@
 
 
 @frozen
-class Limits:
+class FakeLimit:
     rate: float
     burst: float
     share: float = 1.0
--- a/tests/test_quota/test_bound.py
+++ b/tests/test_quota/test_bound.py
@@ -9,17 +9,17 @@
 
 from berylnotch.quota import LocalQuota, QuotaOwner, QuotaSettings
 from berylnotch.quota.messages import GrantReply, GrantRequest
-from tests.test_quota.fakes import Limits
+from tests.test_quota.fakes import FakeLimit
 
 SETTINGS = QuotaSettings(lifetime_s=2.0, drift=1.0, grace_s=0.0)
-LIMITS = {"clinic": Limits(rate=50, burst=100)}
-ROUTERS = 2
-ROUNDING = 1e-6
+LIMITS = {"clinic": FakeLimit(rate=50, burst=100)}
+N_ROUTERS = 2
+TOLERANCE = 1e-6
 
-routers = st.integers(0, ROUTERS - 1)
-amounts = st.sampled_from([10, 100])
+router_indexes = st.integers(0, N_ROUTERS - 1)
+token_amounts = st.sampled_from([10, 100])
 pauses = st.sampled_from([0.0, 0.0, 0.0, 0.4, 1.0, 1.8, 2.6, 3.6])
-picks = st.integers(0, 10_000)
+choices = st.integers(0, 10_000)
 
 
 @define
@@ -45,7 +45,7 @@
     message: GrantRequest | GrantReply
 
 
-class Fleet(RuleBasedStateMachine):
+class QuotaMachine(RuleBasedStateMachine):
     """Owners that follow each other, routers, and a network that may do all.
 
     A virtual bucket that starts full and is emptied by the charges stays at or
@@ -58,141 +58,159 @@
         self.requests = []
         self.replies = []
         speeds = (0.5, 1.0)
-        self.fleet = [Router(f"vm-{i}", speed) for i, speed in enumerate(speeds)]
-        for router in self.fleet:
+        self.router_states = [
+            Router(f"vm-{i}", speed) for i, speed in enumerate(speeds)
+        ]
+        for router in self.router_states:
             router.start()
         self.owner = QuotaOwner(SETTINGS, 1, -1000.0)
-        self.room = LIMITS["clinic"].burst
-        self.charged_at = 0.0
+        self.virtual_level = LIMITS["clinic"].burst
+        self.virtual_level_at = 0.0
 
-    def _clock(self, router):
+    def _router_clock(self, router):
         return self.now * router.speed
 
-    def _wait(self, seconds):
+    def _advance_time(self, seconds):
         """Let time pass while others keep the owner busy."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + 0.2)
             self.owner.level(self.now, "clinic")
 
-    def _open(self, router, tokens):
-        sender = self.fleet[router]
-        sender.quota.want("clinic", tokens, min(tokens, 10))
-        asks = sender.quota.asks(self._clock(sender))
+    def _open_exchange(self, router, tokens):
+        router_state = self.router_states[router]
+        router_state.quota.want("clinic", tokens, min(tokens, 10))
+        asks = router_state.quota.asks(self._router_clock(router_state))
         message = GrantRequest(
-            vm=sender.name,
-            incarnation=str(sender.incarnation),
+            vm=router_state.name,
+            incarnation=str(router_state.incarnation),
             http_address="",
             failure_domain="",
             leaving=False,
-            sequence=sender.quota.sequence,
+            sequence=router_state.quota.sequence,
             asks=asks,
         )
-        exchange = Exchange(sender.quota, self._clock(sender), message)
+        exchange = Exchange(
+            router_state.quota, self._router_clock(router_state), message
+        )
         self.requests.append(exchange)
 
-    def _reach_owner(self, pick, keep):
-        exchange = self._take(self.requests, pick, keep)
+    def _deliver_request(self, choice, is_duplicated):
+        exchange = self._pick_message(self.requests, choice, is_duplicated)
         reply = self.owner.grant(self.now, exchange.message, LIMITS)
         self.replies.append(evolve(exchange, message=reply))
 
-    def _reach_router(self, pick, keep):
-        exchange = self._take(self.replies, pick, keep)
+    def _deliver_reply(self, choice, is_duplicated):
+        exchange = self._pick_message(self.replies, choice, is_duplicated)
         exchange.quota.receive(exchange.sent_at, exchange.message)
 
     def _charge(self, router, tokens):
-        payer = self.fleet[router]
-        if not payer.quota.charge(self._clock(payer), "clinic", tokens):
+        router_state = self.router_states[router]
+        if not router_state.quota.charge(
+            self._router_clock(router_state), "clinic", tokens
+        ):
             return
         limit = LIMITS["clinic"]
-        refilled = limit.rate * (self.now - self.charged_at)
-        self.room = min(limit.burst, self.room + refilled) - tokens
-        self.charged_at = self.now
+        refilled = limit.rate * (self.now - self.virtual_level_at)
+        self.virtual_level = min(limit.burst, self.virtual_level + refilled) - tokens
+        self.virtual_level_at = self.now
 
     def _charge_held(self, router):
-        payer = self.fleet[router]
-        held = payer.quota.balance(self._clock(payer), "clinic")
+        router_state = self.router_states[router]
+        held = router_state.quota.balance(self._router_clock(router_state), "clinic")
         self._charge(router, held)
 
-    @rule(router=routers, tokens=amounts, pause=pauses)
+    @rule(router=router_indexes, tokens=token_amounts, pause=pauses)
     def ask(self, router, tokens, pause):
         """Send a request that is under way."""
-        self._wait(pause)
-        self._open(router, tokens)
-
-    @rule(router=routers, tokens=amounts, pause=pauses, keep=st.booleans())
-    def ask_owner(self, router, tokens, pause, keep):
+        self._advance_time(pause)
+        self._open_exchange(router, tokens)
+
+    @rule(
+        router=router_indexes,
+        tokens=token_amounts,
+        pause=pauses,
+        is_duplicated=st.booleans(),
+    )
+    def ask_owner(self, router, tokens, pause, is_duplicated):
         """Ask and reach the owner, whose reply is under way."""
-        self._wait(pause)
-        self._open(router, tokens)
-        self._reach_owner(-1, keep)
-
-    @rule(router=routers, tokens=amounts, pause=pauses, keep=st.booleans())
-    def borrow(self, router, tokens, pause, keep):
+        self._advance_time(pause)
+        self._open_exchange(router, tokens)
+        self._deliver_request(-1, is_duplicated)
+
+    @rule(
+        router=router_indexes,
+        tokens=token_amounts,
+        pause=pauses,
+        is_duplicated=st.booleans(),
+    )
+    def obtain_grant(self, router, tokens, pause, is_duplicated):
         """Ask and be answered at once; copies may turn up again later."""
-        self._wait(pause)
-        self._open(router, tokens)
-        self._reach_owner(-1, keep)
-        self._reach_router(-1, keep)
+        self._advance_time(pause)
+        self._open_exchange(router, tokens)
+        self._deliver_request(-1, is_duplicated)
+        self._deliver_reply(-1, is_duplicated)
 
     @precondition(lambda self: self.requests)
-    @rule(pick=picks, pause=pauses, keep=st.booleans())
-    def reach_owner(self, pick, pause, keep):
-        self._wait(pause)
-        self._reach_owner(pick, keep)
+    @rule(choice=choices, pause=pauses, is_duplicated=st.booleans())
+    def deliver_request(self, choice, pause, is_duplicated):
+        self._advance_time(pause)
+        self._deliver_request(choice, is_duplicated)
 
     @precondition(lambda self: self.replies)
-    @rule(pick=picks, pause=pauses, keep=st.booleans())
-    def reach_router(self, pick, pause, keep):
-        self._wait(pause)
-        self._reach_router(pick, keep)
+    @rule(choice=choices, pause=pauses, is_duplicated=st.booleans())
+    def deliver_reply(self, choice, pause, is_duplicated):
+        self._advance_time(pause)
+        self._deliver_reply(choice, is_duplicated)
 
-    @rule(router=routers, tokens=amounts, pause=pauses)
+    @rule(router=router_indexes, tokens=token_amounts, pause=pauses)
     def charge(self, router, tokens, pause):
-        self._wait(pause)
+        self._advance_time(pause)
         self._charge(router, tokens)
 
     @rule(pause=pauses)
     def charge_all(self, pause):
         """Charge everything, then all that the owner still lends."""
-        self._wait(pause)
-        for router in range(ROUTERS):
+        self._advance_time(pause)
+        for router in range(N_ROUTERS):
             self._charge_held(router)
-        for router in range(ROUTERS):
+        for router in range(N_ROUTERS):
             for tokens in (10, 100):
-                self._open(router, tokens)
-                self._reach_owner(-1, False)
-                self._reach_router(-1, False)
+                self._open_exchange(router, tokens)
+                self._deliver_request(-1, False)
+                self._deliver_reply(-1, False)
             self._charge_held(router)
 
-    @rule(router=routers, pause=pauses)
+    @rule(router=router_indexes, pause=pauses)
     def crash(self, router, pause):
-        self._wait(pause)
-        self.fleet[router].start()
+        self._advance_time(pause)
+        self.router_states[router].start()
 
-    @rule(router=routers)
+    @rule(router=router_indexes)
     def release(self, router):
-        self.fleet[router].quota.release(self._clock(self.fleet[router]))
+        self.router_states[router].quota.release(
+            self._router_clock(self.router_states[router])
+        )
 
     @rule(pause=pauses)
     def change_owner(self, pause):
         """Begin a new lease after the old one; its replies may still arrive."""
-        self._wait(pause)
+        self._advance_time(pause)
         self.owner = QuotaOwner(SETTINGS, self.owner.term + 1, self.now)
 
     @invariant()
-    def no_window_is_over_its_bound(self):
-        assert self.room >= -ROUNDING
+    def no_window_exceeds_its_bound(self):
+        assert self.virtual_level >= -TOLERANCE
 
     @invariant()
     def level_is_never_above_the_burst(self):
         level = self.owner.level(self.now, "clinic")
-        assert -ROUNDING <= level <= LIMITS["clinic"].burst
+        assert -TOLERANCE <= level <= LIMITS["clinic"].burst
 
-    def _take(self, bag, pick, keep):
-        index = pick if pick < 0 else pick % len(bag)
-        return bag[index] if keep else bag.pop(index)
+    def _pick_message(self, messages, choice, is_duplicated):
+        index = choice if choice < 0 else choice % len(messages)
+        return messages[index] if is_duplicated else messages.pop(index)
 
 
-Fleet.TestCase.settings = settings(max_examples=1000, stateful_step_count=30)
-TestFleet = Fleet.TestCase
+QuotaMachine.TestCase.settings = settings(max_examples=1000, stateful_step_count=30)
+TestQuota = QuotaMachine.TestCase
--- a/tests/test_quota/test_bounds.py
+++ b/tests/test_quota/test_bounds.py
@@ -20,7 +20,7 @@
 ORGANISATION = Organisation("alpha", ("k",), 0, 55_000, 112_000, True, 200)
 
 #: Wait for tokens as in `berylnotch.entry.settings.EntrySettings`, in seconds.
-WAIT_S = 0.45
+MAX_WAIT_S = 0.45
 
 
 def test_organisations_without_a_rate_are_not_limited():
@@ -29,33 +29,33 @@
     assert effective_limits((Organisation("free", ()),), BOUNDS) == {}
 
 
-def play(seed, routers, wanted_per_s, seconds, failover_at):
+def simulate(seed, n_routers, demand_per_s, duration_s, failover_at):
     """Return charges as pairs of time and tokens, over a change of owner."""
     rng = random.Random(seed)
     limits = effective_limits((ORGANISATION,), BOUNDS)
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
-    gates = [QuotaGate(LocalQuota(FLEET_QUOTA), WAIT_S) for _ in range(routers)]
-    floor = int(limits["alpha"].burst * HELD_PART / routers)
+    gates = [QuotaGate(LocalQuota(FLEET_QUOTA), MAX_WAIT_S) for _ in range(n_routers)]
+    floor = int(limits["alpha"].burst * HELD_PART / n_routers)
     for gate in gates:
         gate.quota.keep("alpha", floor)
-    charges, refusals, now, step = [], [], 0.0, 0.02
+    charges, refusals, now, step_s = [], [], 0.0, 0.02
 
-    def ask(gate, size):
-        def done(outcome, _retry_s):
+    def charge(gate, tokens):
+        def on_outcome(outcome, _retry_s):
             if outcome is Charge.CHARGED:
-                charges.append((now, size))
+                charges.append((now, tokens))
             else:
-                refusals.append((now, size))
+                refusals.append((now, tokens))
 
-        gate.charge(now, "alpha", size, done)
+        gate.charge(now, "alpha", tokens, on_outcome)
 
-    while now < seconds:
-        now += step
+    while now < duration_s:
+        now += step_s
         if failover_at is not None and now >= failover_at:
             owner, failover_at = QuotaOwner(FLEET_QUOTA, 2, now), None
         for number, gate in enumerate(gates):
-            if rng.random() < wanted_per_s * step / routers / 4_535:
-                ask(gate, rng.choice((380, 380, 380, 17_000)))
+            if rng.random() < demand_per_s * step_s / n_routers / 4_535:
+                charge(gate, rng.choice((380, 380, 380, 17_000)))
             gate.serve(now)
             if now >= gate.quota.next_ask_at:
                 request = gate.request(now, f"r{number}", "i", "a", "d")
@@ -63,28 +63,28 @@
     return charges, refusals
 
 
-def most_in_window(charges, window_s):
-    most, start, total = 0, 0, 0
+def max_charged_in_window(charges, window_s):
+    max_charged, start, total = 0, 0, 0
     for end, (at, tokens) in enumerate(charges):
         total += tokens
         while charges[start][0] <= at - window_s:
             total -= charges[start][1]
             start += 1
-        most = max(most, total)
+        max_charged = max(max_charged, total)
         assert end >= start
-    return most
+    return max_charged
 
 
 def test_no_window_exceeds_the_bound_over_a_change_of_owner():
     bound = (55_000 * 8 + 112_000) * 1.1 + 190_000
     for seed in range(4):
-        charges, _ = play(seed, 6, 400_000, 30, failover_at=12.0)
-        assert most_in_window(charges, 8.0) <= bound
+        charges, _ = simulate(seed, 6, 400_000, 30, failover_at=12.0)
+        assert max_charged_in_window(charges, 8.0) <= bound
 
 
 def test_use_below_the_rate_is_never_refused():
     for seed in range(4):
-        charges, refusals = play(seed, 6, 30_000, 30, failover_at=None)
+        charges, refusals = simulate(seed, 6, 30_000, 30, failover_at=None)
         assert len(charges) > 100
         assert refusals == []
 
@@ -108,19 +108,19 @@
     assert [outcome for _, outcome, _ in outcomes] == [Charge.CHARGED] * 2
 
 
-def test_first_answer_of_a_new_owner_lets_a_router_serve_through_the_next_change():
+def test_first_reply_of_a_new_owner_covers_demand_until_the_next_owner():
     # The owner dies right after each router asked once, with nothing waiting.
     limits = {"alpha": EffectiveLimit(50_000, 175_000)}
-    routers, most_wait_s = 6, 2.0
+    n_routers, period_s = 6, 2.0
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
-    gates = [QuotaGate(LocalQuota(FLEET_QUOTA), WAIT_S) for _ in range(routers)]
+    gates = [QuotaGate(LocalQuota(FLEET_QUOTA), MAX_WAIT_S) for _ in range(n_routers)]
     for number, gate in enumerate(gates):
-        gate.quota.keep("alpha", int(175_000 * HELD_PART / routers))
+        gate.quota.keep("alpha", int(175_000 * HELD_PART / n_routers))
         request = gate.request(0.01, f"r{number}", "i", "a", "d")
         gate.receive(0.01, 0.01, owner.grant(0.01, request, limits))
     charged = []
     for gate in gates:
         for n in range(16):
-            at = 0.02 + most_wait_s * n / 16
+            at = 0.02 + period_s * n / 16
             gate.charge(at, "alpha", 200, lambda *outcome: charged.append(outcome[0]))
-    assert charged == [Charge.CHARGED] * (routers * 16)
+    assert charged == [Charge.CHARGED] * (n_routers * 16)
--- a/tests/test_quota/test_grants.py
+++ b/tests/test_quota/test_grants.py
@@ -6,11 +6,11 @@
 
 from berylnotch.quota import LocalQuota, QuotaOwner, QuotaSettings
 from berylnotch.quota.messages import GrantReply
-from tests.test_quota.fakes import Limits, exchange, request
+from tests.test_quota.fakes import FakeLimit, exchange, request
 
 SETTINGS = QuotaSettings()
-STEADY = SETTINGS.owner_lifetime_s
-LIMITS = {"clinic": Limits(rate=100, burst=1000)}
+STEADY_AT = SETTINGS.owner_lifetime_s
+LIMITS = {"clinic": FakeLimit(rate=100, burst=1000)}
 
 
 @pytest.fixture
@@ -25,14 +25,14 @@
 
 def test_new_owner_grants_nothing_until_older_grants_are_over(owner, router):
     router.want("clinic", 10)
-    exchange(owner, router, STEADY - 0.01, LIMITS)
-    assert router.balance(STEADY, "clinic") == 0
-    exchange(owner, router, STEADY + 1, LIMITS)
-    assert router.balance(STEADY + 1, "clinic") == 10
+    exchange(owner, router, STEADY_AT - 0.01, LIMITS)
+    assert router.balance(STEADY_AT, "clinic") == 0
+    exchange(owner, router, STEADY_AT + 1, LIMITS)
+    assert router.balance(STEADY_AT + 1, "clinic") == 10
 
 
 def test_charge_needs_held_tokens(owner, router):
-    now = STEADY + 20
+    now = STEADY_AT + 20
     router.want("clinic", 50)
     exchange(owner, router, now, LIMITS)
     assert not router.charge(now, "clinic", 51)
@@ -40,15 +40,15 @@
     assert not router.charge(now, "clinic", 1)
 
 
-def test_held_tokens_end_with_the_lifetime(owner, router):
-    now = STEADY + 20
+def test_held_tokens_expire_with_the_lifetime(owner, router):
+    now = STEADY_AT + 20
     router.want("clinic", 50)
     exchange(owner, router, now, LIMITS)
     assert router.balance(now + SETTINGS.lifetime_s, "clinic") == 0
 
 
-def test_unused_tokens_go_back(owner, router):
-    now = STEADY + 20
+def test_unused_tokens_return_to_the_bucket(owner, router):
+    now = STEADY_AT + 20
     router.want("clinic", 50)
     exchange(owner, router, now, LIMITS)
     assert owner.level(now, "clinic") == 950
@@ -57,8 +57,8 @@
     assert owner.level(now, "clinic") == 1000
 
 
-def test_reply_of_an_abandoned_exchange_is_left_out(owner, router):
-    now = STEADY + 20
+def test_reply_of_an_abandoned_exchange_is_discarded(owner, router):
+    now = STEADY_AT + 20
     router.want("clinic", 50)
     late = owner.grant(now, request(router, now), LIMITS)
     exchange(owner, router, now, LIMITS)
@@ -67,8 +67,8 @@
     assert owner.level(now, "clinic") == 950
 
 
-def test_organisation_far_over_its_rate_is_told_when_to_come_back(owner, router):
-    now = STEADY + 20
+def test_organisation_far_over_its_rate_gets_a_retry_after(owner, router):
+    now = STEADY_AT + 20
     router.want("clinic", 5000, first=1000)
     exchange(owner, router, now, LIMITS)
     router.want("clinic", 5000, first=1000)
@@ -77,8 +77,8 @@
     assert 50_000 <= router.retry_after_ms("clinic") <= 52_000
 
 
-def test_two_waiting_routers_get_whole_amounts_in_turn(owner):
-    now = STEADY + 20
+def test_two_waiting_routers_get_their_full_amounts_in_turn(owner):
+    now = STEADY_AT + 20
     first, second = LocalQuota(SETTINGS), LocalQuota(SETTINGS)
     first.want("clinic", 800)
     second.want("clinic", 800)
@@ -92,8 +92,8 @@
     assert second.charge(now + 6.5, "clinic", 800)
 
 
-def test_tokens_charged_while_the_reply_was_under_way_stay_charged(owner, router):
-    now = STEADY + 20
+def test_tokens_charged_while_the_reply_was_in_flight_stay_charged(owner, router):
+    now = STEADY_AT + 20
     router.want("clinic", 50)
     exchange(owner, router, now, LIMITS)
     router.want("clinic", 10, first=1)
@@ -105,7 +105,7 @@
 
 
 def test_late_reply_of_another_exchange_adds_nothing(owner, router):
-    now = STEADY + 20
+    now = STEADY_AT + 20
     router.want("clinic", 1000)
     late = owner.grant(now, request(router, now), LIMITS)
     exchange(owner, router, now, LIMITS)
@@ -115,7 +115,7 @@
 
 
 def test_lifetime_counts_from_when_the_request_was_sent(owner, router):
-    now = STEADY + 20
+    now = STEADY_AT + 20
     router.want("clinic", 50)
     reply = owner.grant(now + 1.5, request(router, now), LIMITS)
     router.balance(now + 1.9, "clinic")
@@ -124,8 +124,8 @@
     assert router.balance(now + 2.0, "clinic") == 0
 
 
-def test_tokens_written_off_are_not_renewed_by_a_late_request(owner, router):
-    now = STEADY + 20
+def test_expired_tokens_are_not_renewed_by_a_late_request(owner, router):
+    now = STEADY_AT + 20
     router.want("clinic", 600, first=10)
     exchange(owner, router, now, LIMITS)
     router.want("clinic", 300, first=10)
@@ -136,8 +136,8 @@
     assert owner.level(now + 9, "clinic") + reply.grants[0].tokens == 1000
 
 
-def test_held_tokens_last_to_their_own_end_through_a_change_of_owner(owner, router):
-    now = STEADY + 20
+def test_held_tokens_keep_their_expiry_through_a_change_of_owner(owner, router):
+    now = STEADY_AT + 20
     router.want("clinic", 50)
     exchange(owner, router, now, LIMITS)
     successor = QuotaOwner(SETTINGS, term=2, now=now + 1)
@@ -146,9 +146,9 @@
     assert router.balance(now + 2.0, "clinic") == 0
 
 
-def test_new_owner_never_gives_back_what_an_earlier_one_lent(owner, router):
+def test_new_owner_does_not_refund_tokens_granted_by_the_previous_owner(owner, router):
     """Its bucket is empty until it has refilled it itself."""
-    now = STEADY + 20
+    now = STEADY_AT + 20
     router.want("clinic", 500)
     exchange(owner, router, now, LIMITS)
     delayed = request(router, now + 1.9)
@@ -159,8 +159,8 @@
     assert successor.level(successor.steady_from + 1, "clinic") <= 100 + 1e-6
 
 
-def test_request_larger_than_the_burst_does_not_hold_up_others(owner):
-    now = STEADY + 20
+def test_request_larger_than_the_burst_does_not_block_others(owner):
+    now = STEADY_AT + 20
     first, second = LocalQuota(SETTINGS), LocalQuota(SETTINGS)
     first.want("clinic", 1001)
     second.want("clinic", 900)
@@ -170,8 +170,8 @@
 
 
 def test_use_above_the_share_worsens_the_priority(owner):
-    limits = {name: Limits(rate=1e4, burst=1e6) for name in ("large", "small")}
-    router, now = LocalQuota(SETTINGS), STEADY + 100
+    limits = {name: FakeLimit(rate=1e4, burst=1e6) for name in ("large", "small")}
+    router, now = LocalQuota(SETTINGS), STEADY_AT + 100
     for step in range(40):
         for name, tokens in (("large", 900), ("small", 30)):
             router.want(name, tokens)
@@ -181,8 +181,8 @@
     assert router.priority("small") < 4 < router.priority("large")
 
 
-def test_new_owner_does_not_revive_tokens_that_ended_under_way(owner, router):
-    now = STEADY + 20
+def test_new_owner_does_not_revive_tokens_that_expired_in_flight(owner, router):
+    now = STEADY_AT + 20
     other = LocalQuota(SETTINGS)
     router.want("clinic", 500)
     exchange(owner, router, now, LIMITS, "vm-a")
@@ -197,8 +197,8 @@
     assert router.balance(later, "clinic") == 0
 
 
-def test_half_of_the_burst_is_kept_for_work_that_waits(owner, router):
-    now = STEADY + 20
+def test_half_of_the_burst_is_reserved_for_waiting_work(owner, router):
+    now = STEADY_AT + 20
     router.want("clinic", 600)
     exchange(owner, router, now, LIMITS)
     assert router.charge(now, "clinic", 600)
@@ -211,7 +211,7 @@
 
 
 def test_repeated_and_overtaken_requests_change_nothing(owner, router):
-    now = STEADY + 20
+    now = STEADY_AT + 20
     router.want("clinic", 50)
     overtaken = request(router, now)
     newest = request(router, now)
@@ -221,16 +221,18 @@
     assert owner.level(now, "clinic") == 950
 
 
-def test_silent_router_keeps_its_loan_until_the_owner_has_waited_it_out(owner, router):
-    now = STEADY + 20
+def test_grant_of_an_unreachable_router_stays_outstanding_until_it_expires(
+    owner, router
+):
+    now = STEADY_AT + 20
     router.want("clinic", 500)
     exchange(owner, router, now, LIMITS)
-    ends = now + SETTINGS.owner_lifetime_s
-    assert owner.level(ends - 0.001, "clinic") == 500
-    assert owner.level(ends + 1, "clinic") == pytest.approx(600)
+    expires_at = now + SETTINGS.owner_lifetime_s
+    assert owner.level(expires_at - 0.001, "clinic") == 500
+    assert owner.level(expires_at + 1, "clinic") == pytest.approx(600)
 
 
-def test_the_pace_bounds_requests_while_no_work_waits(router):
+def test_pace_sets_the_interval_of_requests_while_no_work_waits(router):
     router.pace(1.5)
     router.asks(10.0)
     sequence = router.sequence
--- a/tests/test_quota/test_waiting_work.py
+++ b/tests/test_quota/test_waiting_work.py
@@ -5,16 +5,16 @@
 
 from berylnotch.entry.quota_gate import Charge, QuotaGate
 from berylnotch.quota import LocalQuota, QuotaOwner
-from berylnotch.quota.bounds import FLEET_QUOTA, TAKEOVER_PART, EffectiveLimit
-from berylnotch.quota.waiting import WaitingLine
+from berylnotch.quota.bounds import FLEET_QUOTA, TAKEOVER_FRACTION, EffectiveLimit
+from berylnotch.quota.waiting import WaitQueue
 
 #: Longest wait for tokens at a router, in seconds.
-WAIT_S = 0.45
+MAX_WAIT_S = 0.45
 
 LIMITS = {"alpha": EffectiveLimit(10_000, 20_000)}
 
 #: What a new owner lends at once.
-FIRST = 20_000 * TAKEOVER_PART
+TAKEOVER_TOKENS = 20_000 * TAKEOVER_FRACTION
 
 
 class Router:
@@ -22,7 +22,7 @@
 
     def __init__(self, name, settings=FLEET_QUOTA):
         self.name = name
-        self.gate = QuotaGate(LocalQuota(settings), WAIT_S)
+        self.gate = QuotaGate(LocalQuota(settings), MAX_WAIT_S)
         self.outcomes = []
 
     def charge(self, now, tokens):
@@ -45,16 +45,16 @@
     return QuotaOwner(FLEET_QUOTA, 1, 0.0)
 
 
-def test_a_router_is_told_what_those_before_it_and_itself_want():
-    line = WaitingLine(3.0)
-    line.enter(0.0, "a", 500, 100)
-    line.enter(0.0, "b", 300, 300)
-    assert line.wanted_until("a") == 500
-    assert line.wanted_until("b") == 800
-    assert line.wanted_until("c") == 0
+def test_wanted_through_sums_a_router_and_those_ahead_of_it():
+    queue = WaitQueue(3.0)
+    queue.enqueue(0.0, "a", 500, 100)
+    queue.enqueue(0.0, "b", 300, 300)
+    assert queue.wanted_through("a") == 500
+    assert queue.wanted_through("b") == 800
+    assert queue.wanted_through("c") == 0
 
 
-def test_the_first_in_line_waits_while_later_ones_are_refused(owner):
+def test_first_router_in_the_queue_waits_while_later_routers_are_refused(owner):
     routers = [Router(name) for name in "abc"]
     for router in routers:
         router.charge(0.01, 10_000)
@@ -69,7 +69,7 @@
     assert routers[0].outcomes == [Charge.CHARGED]
 
 
-def test_nothing_is_kept_back_for_refused_work(owner):
+def test_no_tokens_are_reserved_for_refused_work(owner):
     large, small = Router("large"), Router("small")
     large.charge(0.01, 19_000)
     large.exchange(owner, 0.01)
@@ -79,7 +79,7 @@
     assert small.outcomes == [Charge.CHARGED]
 
 
-def test_work_that_waited_in_vain_gives_its_place_up():
+def test_timed_out_work_leaves_the_queue():
     # Such an owner expects that work waits on.
     settings = evolve(FLEET_QUOTA, refused_leave=False, wait_s=10.0)
     owner = QuotaOwner(settings, 1, 0.0)
@@ -89,17 +89,17 @@
     small.charge(0.02, 300)
     small.exchange(owner, 0.02)
     assert small.outcomes == []
-    large.gate.serve(0.01 + WAIT_S)
+    large.gate.serve(0.01 + MAX_WAIT_S)
     assert large.outcomes == [Charge.UNKNOWN]
-    (ask,) = large.exchange(owner, 0.02 + WAIT_S)
+    (ask,) = large.exchange(owner, 0.02 + MAX_WAIT_S)
     assert (ask.waiting, ask.queued) == (0, 0)
-    small.gate.serve(0.02 + WAIT_S)
-    small.charge(0.03 + WAIT_S, 300)
-    small.exchange(owner, 0.04 + WAIT_S)
+    small.gate.serve(0.02 + MAX_WAIT_S)
+    small.charge(0.03 + MAX_WAIT_S, 300)
+    small.exchange(owner, 0.04 + MAX_WAIT_S)
     assert small.outcomes[-1] is Charge.CHARGED
 
 
-def test_the_reserve_is_not_lent_for_use_to_come(owner):
+def test_reserve_is_not_granted_in_advance(owner):
     # Each of many routers has a little that waits, and asks for more in advance.
     routers = [Router(f"r{n}") for n in range(40)]
     for router in routers:
@@ -108,12 +108,12 @@
         router.exchange(owner, 0.01)
     assert all(router.outcomes == [Charge.CHARGED] for router in routers)
     late = Router("late")
-    late.charge(0.02, int(FIRST * 0.4))
+    late.charge(0.02, int(TAKEOVER_TOKENS * 0.4))
     late.exchange(owner, 0.02)
     assert late.outcomes == [Charge.CHARGED]
 
 
-def test_a_router_where_nothing_waits_has_no_place_and_refuses_nothing(owner):
+def test_idle_router_is_not_queued_and_refuses_nothing(owner):
     waiting, idle = Router("waiting"), Router("idle")
     waiting.charge(0.01, 10_000)
     waiting.exchange(owner, 0.01)
@@ -125,7 +125,7 @@
     assert waiting.outcomes == [Charge.CHARGED]
 
 
-def test_a_refused_router_has_nothing_more_to_tell(owner):
+def test_refused_router_sends_no_further_ask(owner):
     router = Router("large")
     router.charge(0.01, 19_000)
     router.exchange(owner, 0.01)
