--- a/berylnotch/admission/__init__.py
+++ b/berylnotch/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission of requests: fair queueing between organisations, and shedding."""
+"""Admission control: fair queueing between organisations, and load shedding."""
 
 from __future__ import annotations
 
--- a/berylnotch/admission/backlog.py
+++ b/berylnotch/admission/backlog.py
@@ -1,4 +1,4 @@
-"""Waiting requests of one organisation, and how fast they are served."""
+"""Queue of one organisation's waiting requests, with its average service rate."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from berylnotch.admission.ticket import Ticket
 
-#: Time with a backlog after which its service rate is believed, in seconds.
+#: Shortest time with a backlog from which a service rate is derived, in seconds.
 MIN_BACKLOGGED_S = 0.5
 
-#: Entry number of an organisation that is not in the order of service.
+#: Entry number of an organisation that has no entry in a heap of the queue.
 NO_ENTRY = -1
 
 
@@ -22,21 +22,21 @@
     Parameters
     ----------
     window_s : float
-        Time constant of the average service rate.
+        Time constant of the average service rate, in seconds.
     now : float
-        Time of creation.
+        Time of creation, in seconds of the monotonic clock.
 
     Attributes
     ----------
-    start : float
+    start_tag : float
         Start tag of the oldest request, in virtual time.
-    entry : int
-        Number of the valid entry in the order of service or among those set
-        aside, or `NO_ENTRY`.
-    is_short : bool
+    entry_number : int
+        Number of the valid entry in the ready heap or the deferred heap, or
+        `NO_ENTRY`.
+    is_short_of_tokens : bool
         Whether the oldest request waits for the organisation's tokens.
-    is_parked : bool
-        Whether the organisation is set aside.
+    is_deferred : bool
+        Whether the organisation is in the deferred heap.
     """
 
     def __init__(self, window_s: float, now: float) -> None:
@@ -57,7 +57,7 @@
 
     @property
     def n_stored(self) -> int:
-        """Requests in memory, with removed ones not yet dropped."""
+        """Number of requests in memory, including removed ones not yet dropped."""
         return len(self._tickets)
 
     def add(self, now: float, ticket: Ticket) -> None:
@@ -77,7 +77,7 @@
         return None
 
     def remove(self, now: float, ticket: Ticket) -> None:
-        """Take out a request wherever it stands."""
+        """Remove a request at any position of the queue."""
         self._update_rate(now)
         self._waiting_ids.remove(ticket.identity)
         self._waiting_cost -= ticket.cost
@@ -86,16 +86,26 @@
             self._tickets = deque(waiting)
 
     def serve(self, now: float, ticket: Ticket) -> None:
-        """Take out a request that is sent to a target."""
+        """Remove a request that is sent to a target, and count its cost as served."""
         self.is_short_of_tokens = False
         self.remove(now, ticket)
         self._served_cost += ticket.cost
 
     def expected_wait_s(self, now: float, cost: float = 0.0) -> float:
-        """Return how long a new request of ``cost`` would wait.
-
-        It is 0 as long as the service rate is not known. Time in which the
-        organisation lacked tokens is left out of the rate.
+        """Return the expected wait of a new request.
+
+        Parameters
+        ----------
+        now : float
+            Present time, in seconds.
+        cost : float, default=0.0
+            Cost of the new request, in tokens.
+
+        Returns
+        -------
+        float
+            Expected wait in seconds, or 0 as long as the service rate is not known.
+            Time in which the organisation lacked tokens does not count in the rate.
         """
         self._update_rate(now)
         if self._backlogged_s < MIN_BACKLOGGED_S or not self._served_cost:
--- a/berylnotch/admission/errors.py
+++ b/berylnotch/admission/errors.py
@@ -6,8 +6,8 @@
 
 
 class AdmissionError(RequestError):
-    """The queue cannot do what was asked."""
+    """Base class of errors of the admission queue."""
 
 
 class DuplicateTicketError(AdmissionError):
-    """A ticket with this identity waits already."""
+    """A request with the same identity is already queued."""
--- a/berylnotch/admission/queue.py
+++ b/berylnotch/admission/queue.py
@@ -1,4 +1,4 @@
-"""Weighted fair queue of the requests that wait in one router."""
+"""Weighted fair queue of the requests that wait in one router, across organisations."""
 
 from __future__ import annotations
 
@@ -17,36 +17,37 @@
     from berylnotch.admission.settings import AdmissionSettings
     from berylnotch.admission.ticket import Ticket
 
-#: Priority at which an organisation's own share counts unchanged.
+#: Priority at which an organisation's weight equals its share.
 EVEN_PRIORITY = 4
 
-#: Priority steps that halve the weight of an organisation.
+#: Number of priority steps that halve the weight of an organisation.
 STEPS_PER_HALVING = 2
 
-#: Shortest time after which a refused caller is told to come back.
+#: Shortest retry-after time of a refused caller, in milliseconds.
 MIN_RETRY_MS = 100
 
-#: Longest time after which a refused caller is told to come back.
+#: Longest retry-after time of a refused caller, in milliseconds.
 MAX_RETRY_MS = 30_000
 
-#: The same while the service rate is not known.
+#: Retry-after time while the service rate is not known, in milliseconds.
 UNKNOWN_RETRY_MS = 1000
 
-#: Outdated heap entries that are kept beside as many valid ones.
+#: Outdated heap entries that are tolerated in addition to two for each waiting request.
 COMPACTION_SLACK = 64
 
 
 class FairQueue:
     """Serves organisations in proportion to their shares.
 
-    Start-time fair queueing: each request has a start tag in virtual time, the
-    later of the present virtual time and the end of the organisation's request
-    before it, which lies cost / share after its own start. The smallest start
-    is served first. An organisation with a worse priority has used more than
-    its share over all routers, and its share counts for less.
+    The queue implements start-time fair queueing. Each request has a start tag in
+    virtual time: the later of the present virtual time and the finish tag of the
+    organisation's previous request. The finish tag is the start tag plus cost /
+    weight. The request with the smallest start tag is served first. An organisation
+    with a worse priority has used more than its share over all routers, so its
+    weight is reduced.
 
     Each operation costs O(log n) on average. An organisation whose oldest
-    request does not fit is set aside until `wake`, or for ``recheck_s``.
+    request does not fit is deferred until `wake` is called or ``recheck_s`` passes.
 
     Parameters
     ----------
@@ -70,19 +71,19 @@
 
     @property
     def n_entries(self) -> int:
-        """Entries in memory, outdated ones included."""
+        """Number of entries in memory, including outdated ones."""
         n_heap_entries = (
             len(self._ready_heap) + len(self._deferred_heap) + len(self._deadline_heap)
         )
         return n_heap_entries + sum(b.n_stored for b in self._backlogs.values())
 
     def offer(self, now: float, ticket: Ticket) -> Refusal | None:
-        """Queue a request, or say why not and when to come back.
+        """Queue a request, or return a refusal with its reason and retry-after time.
 
         Raises
         ------
         DuplicateTicketError
-            If a request of the same identity waits.
+            If a request with the same identity is already queued.
         """
         self._now = max(self._now, now)
         if ticket.identity in self._tickets:
@@ -95,11 +96,11 @@
         return None
 
     def pop(self, now: float, fits: Callable[[Ticket], Fit | bool]) -> Ticket | None:
-        """Take the next request that fits, or none.
+        """Remove and return the next request that fits, or None.
 
         Only the oldest request of each organisation is considered. ``fits``
-        says whether it may run now; it is called at most once for each
-        organisation that is not set aside.
+        tells whether a request may run now; it is called at most once for each
+        organisation that is not deferred.
         """
         self._now = max(self._now, now)
         self._resume_due(now)
@@ -120,13 +121,13 @@
         return None
 
     def wake(self, organisation: str) -> None:
-        """Consider an organisation again, which got tokens or capacity."""
+        """Reschedule a deferred organisation after it got tokens or capacity."""
         backlog = self._backlogs.get(organisation)
         if backlog is not None and backlog.is_deferred:
             self._schedule(backlog, organisation)
 
     def wake_all(self) -> None:
-        """Consider every organisation again."""
+        """Reschedule every deferred organisation."""
         for _, entry_number, organisation in self._deferred_heap:
             backlog = self._backlogs.get(organisation)
             if backlog is not None and backlog.entry_number == entry_number:
@@ -134,7 +135,7 @@
         self._deferred_heap.clear()
 
     def expire(self, now: float) -> tuple[Ticket, ...]:
-        """Take out the requests whose deadline has passed."""
+        """Remove and return the requests whose deadline has passed."""
         expired = []
         while self._deadline_heap and self._deadline_heap[0][0] <= now:
             deadline, identity = heapq.heappop(self._deadline_heap)
@@ -145,17 +146,17 @@
         return tuple(expired)
 
     def cancel(self, ticket: Ticket) -> bool:
-        """Take out a request that was given up; return whether it waited."""
+        """Remove a cancelled request; return whether it was queued."""
         if self._tickets.get(ticket.identity) is not ticket:
             return False
         self._remove(self._now, ticket)
         return True
 
     def retry_after_ms(self, now: float, organisation: str) -> int:
-        """Return when a refused caller should come back.
+        """Return the retry-after time of a refused caller, in milliseconds.
 
-        This is the time that the organisation's backlog needs at the rate at
-        which it is served.
+        It is the time in which the organisation's backlog is served at its
+        present service rate.
         """
         backlog = self._backlogs.get(organisation)
         wait_s = 0.0 if backlog is None else backlog.expected_wait_s(now)
@@ -238,7 +239,7 @@
         self._compact()
 
     def _compact(self) -> None:
-        """Drop outdated entries once they outnumber the valid ones."""
+        """Drop outdated entries once they outnumber the valid entries."""
         max_entries = 2 * len(self._tickets) + COMPACTION_SLACK
         if len(self._deadline_heap) > max_entries:
             self._deadline_heap = [
@@ -261,7 +262,7 @@
         return valid
 
     def _drop_idle_backlogs(self) -> None:
-        """Drop organisations without a backlog whose tag lies in the past."""
+        """Drop organisations without a backlog whose start tag is not in the future."""
         if not self._tickets:
             self._backlogs.clear()
             return
--- a/berylnotch/admission/retry.py
+++ b/berylnotch/admission/retry.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt may be repeated on another target."""
+"""Decision whether a failed attempt may be retried on another target."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RetryDecision(Enum):
-    """Whether to try again, and if not, why."""
+    """Whether to retry, or the reason not to."""
 
     RETRY = "retry"
     NOT_IDEMPOTENT = "not-idempotent"
@@ -28,12 +28,14 @@
     Parameters
     ----------
     max_attempts : int, default=3
-        Attempts of one request, the first included.
+        Largest number of attempts of one request, including the first.
     ratio : float, default=0.1
-        Retries that each first attempt earns its service. Higher hides more
-        failures, and adds as much load while targets are overloaded.
+        Retries that each first attempt adds to the budget of its service. A
+        higher ratio hides more failures, and adds as much load while targets are
+        overloaded.
     reserve : float, default=10.0
-        Most retries that a service saves up, and what it starts with.
+        Largest number of retries that a service can accumulate, and its initial
+        budget.
     """
 
     max_attempts: int = field(default=3, validator=ge(1))
@@ -52,11 +54,11 @@
     is_idempotent : bool
         Whether the request may run more than once.
     mark : RunMark
-        Whether the target ran it.
+        Whether the target ran the request.
     deadline : float
-        Monotonic time after which the caller does not want the answer.
+        Monotonic time after which the caller no longer needs the answer.
     expected_s : float
-        Time that another attempt takes until its answer is of use.
+        Expected time in seconds until another attempt gives a usable answer.
     """
 
     number: int
@@ -67,7 +69,7 @@
 
 
 class RetryBudget:
-    """Bounds one service's retries to a part of its first attempts.
+    """Limits the retries of one service to a fraction of its first attempts.
 
     Parameters
     ----------
@@ -81,7 +83,7 @@
 
     @property
     def balance(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries that may be made now."""
         return self._balance
 
     @property
@@ -90,7 +92,7 @@
         return self._balance >= 1
 
     def resize(self, settings: RetrySettings) -> None:
-        """Take other bounds; the balance never rises by it."""
+        """Apply changed settings; this never raises the balance."""
         self._settings = settings
         self._balance = min(self._balance, settings.reserve)
 
@@ -100,7 +102,7 @@
         self._balance = min(self._settings.reserve, earned)
 
     def spend(self) -> bool:
-        """Take one retry; return whether there was room for it."""
+        """Take one retry from the budget; return whether the budget allowed it."""
         if not self.has_room:
             return False
         self._balance -= 1
@@ -110,10 +112,11 @@
 def may_retry(
     settings: RetrySettings, now: float, attempt: Attempt, has_budget: bool
 ) -> RetryDecision:
-    """Decide on another attempt.
+    """Decide whether to make another attempt.
 
-    A request that is not idempotent is repeated only if it is proved that no
-    target ran it. The caller spends the budget after a `RetryDecision.RETRY`.
+    A request that is not idempotent is repeated only if it is certain that no
+    target ran it. The calling code takes the retry from the budget after a
+    `RetryDecision.RETRY`.
     """
     if attempt.mark is RunMark.RAN:
         return RetryDecision.ALREADY_RAN
--- a/berylnotch/admission/settings.py
+++ b/berylnotch/admission/settings.py
@@ -1,4 +1,4 @@
-"""Settings of admission."""
+"""Settings of the admission queue."""
 
 from __future__ import annotations
 
@@ -13,18 +13,20 @@
     Parameters
     ----------
     max_tickets : int, default=1024
-        Most requests that wait in one router. More costs memory and lets
-        callers wait for what cannot be served in time.
+        Largest number of requests that wait in one router. A larger queue costs
+        memory and holds requests that cannot be served in time.
     free_fraction : float, default=1.0
-        An organisation may hold at most this times the places that are still
-        free, so that others always find some.
+        An organisation may occupy at most this multiple of the slots that are
+        still free, so that other organisations always find free slots.
     max_wait_s : float, default=5.0
-        A request whose expected wait is longer is refused at once.
+        Longest expected wait in seconds; a request that would wait longer is
+        refused at once.
     rate_window_s : float, default=2.0
-        Time constant of the average service rate.
+        Time constant of the average service rate, in seconds.
     recheck_s : float, default=0.1
-        Time for which an organisation is set aside whose oldest request did
-        not fit, unless it is woken. Longer saves processor time.
+        Time in seconds for which an organisation is deferred after its oldest
+        request did not fit, unless tokens or capacity become available earlier. A
+        longer time saves CPU time.
     """
 
     max_tickets: int = field(default=1024, validator=gt(0))
--- a/berylnotch/admission/ticket.py
+++ b/berylnotch/admission/ticket.py
@@ -1,4 +1,4 @@
-"""A waiting request, and the refusal of one."""
+"""Waiting request, and the refusal of a request."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     Parameters
     ----------
     identity : str
-        Request id; unique among the waiting requests.
+        Request ID, unique among the waiting requests.
     organisation : str
-        Whose key came with the request.
+        Organisation whose key authenticated the request.
     share : float
         Weight of the organisation.
     cost : float
         Expected work in tokens.
     deadline : float
-        Monotonic time after which the caller does not want the answer.
+        Monotonic time after which the caller no longer needs the answer.
     enqueued : float
         Monotonic time of arrival.
     priority : int, default=4
-        From the organisation's grants, 0 (best) to 9.
+        Priority from the organisation's grants, 0 (best) to 9.
     """
 
     identity: str
@@ -58,7 +58,7 @@
 
 @frozen
 class Refusal:
-    """A request was refused before any byte went to a target."""
+    """Refusal of a request before any byte was sent to a target."""
 
     reason: RefusalReason
     retry_after_ms: int
--- a/berylnotch/admission/window.py
+++ b/berylnotch/admission/window.py
@@ -8,13 +8,14 @@
 
 from berylnotch.admission.retry import RetrySettings
 
-#: Parts of a window in which attempts are counted; more are closer to its edges.
+#: Number of intervals into which a window is divided for counting attempts. More
+#: intervals approximate the edges of the sliding window more closely.
 N_INTERVALS = 10
 
 
 @define
 class _Interval:
-    """Attempts in one part of a window."""
+    """Number of first attempts and retries in one interval."""
 
     index: int
     n_first_attempts: int = 0
@@ -22,11 +23,12 @@
 
 
 class WindowBudget:
-    """Bounds retries in each window to a part of its first attempts and the reserve.
+    """Limits retries in each window to the reserve plus a fraction of first attempts.
 
-    A bucket of tokens must forget what it saved beyond its reserve, or two bursts
-    within a window would spend it twice. Counting the window itself lets a burst of
-    failures, as when targets crash together, use all that the window has earned.
+    A token bucket must discard tokens above its reserve; otherwise two bursts within
+    one window would spend the same tokens twice. Counting attempts over the window
+    lets a burst of failures, for example when several targets crash together, use
+    the whole budget that the window has earned.
 
     Parameters
     ----------
@@ -42,13 +44,14 @@
         self._intervals: deque[_Interval] = deque()
 
     def resize(self, settings: RetrySettings) -> None:
-        """Take other bounds; what was spent still counts."""
+        """Apply changed settings; earlier retries still count."""
         self._settings = settings
 
     def balance(self, now: float) -> float:
-        """Return the retries that may be made now, negative after smaller bounds."""
+        """Return the remaining retries; negative after the settings were reduced."""
         current = self._drop_old_intervals(now)
-        # Parts at the edge count against the budget, and not for it.
+        # The oldest interval lies only partly inside the window. Its retries count,
+        # but its first attempts do not, so that no window exceeds its budget.
         n_first_attempts = sum(
             interval.n_first_attempts
             for interval in self._intervals
@@ -60,7 +63,7 @@
         )
 
     def has_room(self, now: float) -> bool:
-        """Tell whether another retry may be made."""
+        """Return whether another retry may be made."""
         return self.balance(now) >= 1
 
     def earn(self, now: float) -> None:
@@ -68,7 +71,7 @@
         self._current_interval(now).n_first_attempts += 1
 
     def spend(self, now: float) -> bool:
-        """Take one retry; return whether there was room for it."""
+        """Take one retry from the budget; return whether the budget allowed it."""
         if not self.has_room(now):
             return False
         self._current_interval(now).n_retries += 1
@@ -81,7 +84,7 @@
         return self._intervals[-1]
 
     def _drop_old_intervals(self, now: float) -> int:
-        """Forget what no window up to ``now`` holds; return the present part."""
+        """Drop intervals that ended before the window; return the current index."""
         index = int(now / self._interval_s)
         while self._intervals and self._intervals[0].index < index - N_INTERVALS:
             self._intervals.popleft()
--- a/berylnotch/quota/__init__.py
+++ b/berylnotch/quota/__init__.py
@@ -1,7 +1,8 @@
-"""Limits of organisations over all VMs: one bucket each, lent out in grants.
+"""Rate limits of organisations across all VMs, enforced with token buckets and grants.
 
-The names here are the public interface for other programs; docs/embedding.md
-shows how they go together.
+The owner keeps one token bucket for each organisation and grants tokens from it to
+routers. The names exported here are the public interface for other programs;
+docs/embedding.md shows how to use them.
 """
 
 from __future__ import annotations
--- a/berylnotch/quota/bounds.py
+++ b/berylnotch/quota/bounds.py
@@ -1,4 +1,4 @@
-"""Limits of organisations within the bounds that the operators allow."""
+"""Enforced limits of organisations, derived from the operators' bounds."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 from berylnotch.routing.model import Organisation
 from berylnotch.settings.fleet import FleetBounds
 
-#: Part of the room above the rate that is lent; the rest covers the tokens that a
-#: new owner lends before it knows what the earlier one lent.
+#: Fraction of the headroom above the rate that is granted. The rest covers the tokens
+#: that a new owner grants before it knows the grants of the previous owner.
 GRANTED_FRACTION = 0.7
 
-#: Part of an organisation's burst that the routers may hold for use to come, so
-#: that they serve on while there is no owner.
+#: Fraction of an organisation's burst that the routers may hold in advance, so that
+#: they continue to serve while there is no owner.
 HELD_PART = 0.45
 
-#: Part of the burst that a new owner lends at once, instead of waiting for earlier
-#: grants to end: the rest that `LENT_PART` leaves.
+#: Fraction of the burst that a new owner grants at once, without waiting until
+#: earlier grants expire. It is the rest of the headroom that `GRANTED_FRACTION` leaves,
+#: expressed as a fraction of the burst.
 TAKEOVER_FRACTION = (1 - GRANTED_FRACTION) / GRANTED_FRACTION
 
-#: Part of the burst that is lent only to work that waits: half of what a new owner
-#: lends at once, so that routers can hold tokens in advance from its first answer on.
+#: Fraction of the burst that is granted only to waiting work. It is half of the tokens
+#: that a new owner grants at once, so that routers can hold tokens in advance from the
+#: new owner's first reply on.
 RESERVED_FRACTION = TAKEOVER_FRACTION / 2
 
-#: Lending in a fleet: grants outlast a change of leader.
+#: Quota settings of a fleet. The grants outlast a change of leader.
 FLEET_QUOTA = QuotaSettings(
     lifetime_s=7.0,
     ask_interval_s=0.25,
@@ -42,7 +44,7 @@
 
 @frozen
 class EffectiveLimit:
-    """Rate and burst that are enforced, in tokens."""
+    """Enforced rate in tokens a second, burst in tokens, and weight."""
 
     rate: float
     burst: float
@@ -52,11 +54,11 @@
 def effective_limits(
     organisations: Iterable[Organisation], bounds: FleetBounds
 ) -> dict[str, EffectiveLimit]:
-    """Return what is enforced for each organisation with a limit.
+    """Return the enforced limit of each organisation that has a rate limit.
 
-    What is charged in any window stays below rate and burst with the overshoot
-    and the slack. All the room above the rate goes into the burst, so that as
-    little as possible is refused that is allowed.
+    The tokens charged in any window stay below rate x window plus burst, increased
+    by the overshoot and the slack. All the headroom above the rate goes into the
+    burst, so that as few permitted requests as possible are refused.
     """
     overshoot_factor = 1 + bounds.quota_overshoot
     limits = {}
@@ -72,5 +74,5 @@
 
 
 def is_limited(organisation: Organisation | None) -> bool:
-    """Whether requests of an organisation are charged."""
+    """Return whether requests of an organisation are charged."""
     return organisation is not None and organisation.rate > 0
--- a/berylnotch/quota/bucket.py
+++ b/berylnotch/quota/bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket of one organisation, with the tokens lent out of it."""
+"""Token bucket of one organisation, with the grants that are outstanding from it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Limit(Protocol):
-    """What the quota owner reads of an organisation."""
+    """Interface through which the quota owner reads an organisation's limit."""
 
     @property
     def rate(self) -> float:
@@ -17,7 +17,7 @@
 
     @property
     def burst(self) -> float:
-        """Most tokens that may be used at once."""
+        """Largest number of tokens that may be used at once."""
 
     @property
     def share(self) -> float:
@@ -26,10 +26,10 @@
 
 @define
 class OutstandingGrant:
-    """Tokens that one router may still charge, as the owner knows.
+    """Tokens that one router may still charge, as known to the owner.
 
-    ``spent`` is the router's total in its present incarnation when it last
-    reported; the loan cannot be charged from ``ends`` on.
+    ``spent`` is the total that the router's present incarnation last reported. The
+    grant cannot be charged from ``expires_at`` on.
     """
 
     tokens: int
@@ -38,20 +38,20 @@
 
 
 class Bucket:
-    """Token bucket whose level and loans together never exceed the burst.
+    """Token bucket whose level and outstanding grants together never exceed the burst.
 
-    Any token that is charged was lent before. So a window of T seconds is
-    charged at most the level and loans at its start, and what was refilled
-    since: burst + rate x T.
+    Each token that is charged was granted before. So the charges in a window of T
+    seconds are at most the level and the outstanding grants at its start, plus the
+    tokens refilled since: burst + rate x T.
 
     Parameters
     ----------
     rate, burst : float
-        Tokens a second, and most tokens at once.
-    refill_from : float
-        Time from which the bucket is refilled.
+        Tokens a second, and capacity in tokens.
+    refill_start : float
+        Monotonic time from which the bucket is refilled, in seconds.
     level : float, default=0.0
-        Tokens that it holds at first.
+        Initial number of tokens in the bucket.
     """
 
     def __init__(
@@ -62,17 +62,17 @@
         self._level = level
         self._outstanding = 0
         self._updated_at = refill_start
-        #: Loans by router, the first to end first.
+        #: Outstanding grants by router, the first to expire first.
         self._grants: OrderedDict[str, OutstandingGrant] = OrderedDict()
 
     @property
     def level(self) -> float:
-        """Tokens that may be lent, as of the last `advance`."""
+        """Tokens that may be granted, as of the last `advance`."""
         return self._level
 
     @property
     def outstanding(self) -> int:
-        """Tokens that routers may still charge."""
+        """Granted tokens that routers may still charge."""
         return self._outstanding
 
     @property
@@ -82,16 +82,16 @@
 
     @property
     def burst(self) -> float:
-        """Most tokens at once."""
+        """Capacity in tokens."""
         return self._burst
 
     @property
     def is_idle(self) -> bool:
-        """Whether the bucket is full and nothing is lent."""
+        """Whether the bucket is full and no grant is outstanding."""
         return not self._grants and self._level >= self._burst
 
     def advance(self, now: float) -> None:
-        """Refill up to ``now`` and write off loans that have ended."""
+        """Refill the bucket up to ``now`` and write off expired grants."""
         while self._grants:
             router, grant = next(iter(self._grants.items()))
             if grant.expires_at > now:
@@ -102,25 +102,25 @@
         self._refill(now)
 
     def resize(self, rate: float, burst: float) -> None:
-        """Take over changed limits; the level never rises by it."""
+        """Apply changed limits; this never raises the level."""
         self._rate = rate
         self._burst = burst
         self._cap_level()
 
     def record_report(self, router: str, held: int, spent: int) -> int:
-        """Take over what a router holds and has spent; return the new use.
+        """Record the tokens that a router holds and has spent; return the new use.
 
-        Tokens that it neither holds nor spent go back to the level: it gave
-        them up, let them expire, or never received them.
+        Granted tokens that the router neither holds nor spent return to the bucket:
+        the router gave them up, let them expire, or never received them.
 
         Parameters
         ----------
         router : str
             Name of the router's incarnation.
         held : int
-            Tokens that it may charge.
+            Tokens that the router may charge.
         spent : int
-            Tokens that it has charged since it started.
+            Tokens that the router has charged since it started.
         """
         grant = self._grants.get(router)
         if grant is None:
@@ -137,13 +137,13 @@
         return used
 
     def grant(self, router: str, tokens: int, expires_at: float) -> int:
-        """Move tokens from the level to a router that has reported.
+        """Grant tokens from the bucket to a router that has reported before.
 
         Returns
         -------
         tokens : int
-            All tokens that the router may charge until ``ends``, from those
-            that it reported as held on.
+            All tokens that the router may charge until ``expires_at``, including
+            those that it reported as held.
         """
         grant = self._grants[router]
         grant.tokens += tokens
--- a/berylnotch/quota/errors.py
+++ b/berylnotch/quota/errors.py
@@ -6,8 +6,8 @@
 
 
 class QuotaError(BerylnotchError):
-    """The limits cannot do what was asked."""
+    """Base class of errors of the organisations' limits."""
 
 
 class InvalidChargeError(QuotaError):
-    """A charge or want is negative."""
+    """The number of tokens to charge or to request is negative."""
--- a/berylnotch/quota/holding.py
+++ b/berylnotch/quota/holding.py
@@ -1,4 +1,4 @@
-"""What a router holds of one organisation's tokens."""
+"""Tokens that a router holds for one organisation, and its demand for more."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from berylnotch.quota.settings import QuotaSettings
 from berylnotch.quota.usage import BEST_PRIORITY, UsageAverage
 
-#: Held part of the target below which a router asks for more.
+#: Fraction of the target amount of held tokens below which a router asks for more.
 LOW_FRACTION = 0.5
 
-#: Multiple of the target above which a router gives tokens back.
+#: Multiple of the target amount of held tokens above which a router returns tokens.
 HIGH_MULTIPLE = 2.0
 
-#: Part of the lifetime after which held tokens are renewed, and use reported.
+#: Fraction of the lifetime after which held tokens are renewed and use is reported.
 RENEW_FRACTION = 0.5
 
-#: Part of the floor that is held for an organisation without requests, so that its
-#: first one is served while there is no owner.
+#: Fraction of ``min_held`` that is held for an organisation without recent requests, so
+#: that its first request is served even while there is no owner.
 IDLE_FRACTION = 0.25
 
 
 @define
 class OrganisationQuota:
-    """One organisation at one router.
+    """Held tokens and demand of one organisation at one router.
 
     Parameters
     ----------
@@ -35,31 +35,32 @@
     usage : UsageAverage
         Recent use at this router.
     tokens : int, default=0
-        Tokens that may be charged before ``ends``.
-    ends : float, default=-inf
-        Monotonic time of the end of the lifetime.
+        Tokens that may be charged before ``expires_at``.
+    expires_at : float, default=-inf
+        Monotonic time at which the held tokens expire.
     spent : int, default=0
         Tokens charged since the router started.
-    reported : int, default=0
-        ``spent`` as the newest request gave it.
-    asked : float, default=-inf
-        When the newest request with this organisation was opened.
+    reported_spent : int, default=0
+        ``spent`` in the newest request that includes this organisation.
+    asked_at : float, default=-inf
+        Monotonic time at which that request was opened.
     is_answered : bool, default=True
         Whether that request was answered.
-    want, first : int, default=0
-        What waiting work needs in all, and what its first part needs.
+    want, first_want : int, default=0
+        Tokens that all the waiting work needs, and tokens that the first item of
+        the waiting work needs.
     priority : int, default=0
-        From the owner, 0 (best) to 9.
+        Priority from the owner, 0 (best) to 9.
     retry_at : float, default=-inf
-        When refused work should come back.
-    asked_first : int, default=0
-        ``first`` as the newest request gave it.
-    has_place : bool, default=False
-        Whether the owner keeps back tokens for work that waits here, by its newest
-        answer.
-    floor : int, default=0
-        Tokens that are held while the organisation is in use; a part of them is
-        held always.
+        Monotonic time at which refused work may be retried.
+    asked_first_want : int, default=0
+        ``first_want`` in the newest request that includes this organisation.
+    is_queued_at_owner : bool, default=False
+        Whether the owner reserves tokens for work that waits at this router,
+        according to its newest reply.
+    min_held : int, default=0
+        Smallest number of tokens to hold while the organisation is in use. The
+        fraction `IDLE_FRACTION` of it is held at all times.
     """
 
     settings: QuotaSettings
@@ -92,11 +93,11 @@
         return True
 
     def build_ask(self, now: float, organisation: str) -> QuotaAsk | None:
-        """Return the line for the owner, or none if there is no need yet.
+        """Return the organisation's ask to the owner, or None if none is due.
 
-        Tokens above the target are given up. So are all of them if they are
-        too few for the first waiting work, so that two routers do not block
-        each other by holding a part each.
+        The router gives up tokens above the target amount. It gives up all tokens if
+        they are too few for the first waiting work, so that two routers do not block
+        each other by each holding a part of the tokens.
         """
         target_tokens = self._target_tokens(now)
         if not self._is_due(now, target_tokens):
@@ -120,7 +121,7 @@
         )
 
     def apply_grant(self, lifetime_start: float, grant: Grant) -> None:
-        """Take a grant whose lifetime counts from ``counted_from``."""
+        """Apply a grant whose lifetime counts from ``lifetime_start``."""
         charged_since = self.spent - self.reported_spent
         self.tokens = max(0, grant.tokens - charged_since)
         self.expires_at = lifetime_start + grant.lifetime_ms / 1000
@@ -144,7 +145,8 @@
 
     def _is_due(self, now: float, target_tokens: int) -> bool:
         held = self.balance(now)
-        # Work that was refused meanwhile gives up its place to that of others.
+        # A router whose waiting work was refused since then asks once more, so that the
+        # owner stops reserving tokens for it and serves other routers.
         if self.want or not self.is_answered or self.is_queued_at_owner:
             return True
         if held < LOW_FRACTION * target_tokens or held > HIGH_MULTIPLE * target_tokens:
--- a/berylnotch/quota/local.py
+++ b/berylnotch/quota/local.py
@@ -1,4 +1,4 @@
-"""A router's grants: what it may charge to each organisation."""
+"""Grants of one router: the tokens that it may charge to each organisation."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class LocalQuota:
-    """What one router may charge to the organisations.
+    """Tokens that one router may charge to the organisations.
 
-    One request is on its way to the owner at a time: `asks` opens an exchange
-    and ends the one before it, whose reply is not taken any more. So the owner
-    knows from each request all that the router may still charge.
+    At most one request to the owner is in flight: `asks` opens an exchange and
+    closes the previous one, whose reply is discarded from then on. So each request
+    tells the owner all tokens that the router may still charge.
 
     Parameters
     ----------
@@ -40,19 +40,19 @@
 
     @property
     def sequence(self) -> int:
-        """Number that the request with the newest `asks` must carry."""
+        """Sequence number for the request that carries the newest `asks`."""
         return self._sequence
 
     @property
     def owner_term(self) -> int:
-        """Term of the owner that answered last."""
+        """Term of the owner that sent the last accepted reply."""
         return self._owner_term
 
     @property
     def next_ask_at(self) -> float:
-        """Time at which the next request should be sent.
+        """Monotonic time at which the next request should be sent, in seconds.
 
-        While one is on its way, this is when to give it up.
+        While a request is in flight, this is the time at which it times out.
         """
         if self._is_exchange_open:
             return self._opened_at + self._settings.reply_timeout_s
@@ -61,10 +61,10 @@
         return self._opened_at + self._ask_interval_s
 
     def asks(self, now: float) -> tuple[QuotaAsk, ...]:
-        """Open an exchange with the owner and return its lines.
+        """Open an exchange with the owner and return the asks for its request.
 
-        The request must carry `sequence`, and is also sent without lines, as
-        the router's heartbeat.
+        The request must carry `sequence`. It is also sent without asks, because it
+        is the router's heartbeat.
         """
         self._advance_clock(now)
         self._sequence += 1
@@ -77,14 +77,14 @@
         return tuple(ask for ask in candidates if ask is not None)
 
     def receive(self, sent_at: float, reply: GrantReply) -> bool:
-        """Take the reply of the open exchange; return whether it was taken.
+        """Apply the reply of the open exchange; return whether it was accepted.
 
         Parameters
         ----------
         sent_at : float
-            Monotonic time before the request was sent.
+            Monotonic time, in seconds, read before the request was sent.
         reply : GrantReply
-            The owner's answer; a late or repeated one is left out.
+            Reply of the owner. A late or repeated reply is discarded.
         """
         if not self._is_exchange_open or reply.sequence != self._sequence:
             return False
@@ -98,9 +98,11 @@
         return True
 
     def charge(self, now: float, organisation: str, tokens: int) -> bool:
-        """Charge tokens if they are held; return whether they were charged."""
+        """Charge tokens if the router holds enough; return whether it did."""
         if tokens < 0:
-            raise InvalidChargeError(f"charge of {tokens} tokens")
+            raise InvalidChargeError(
+                f"cannot charge {tokens} tokens: the number is negative"
+            )
         self._advance_clock(now)
         return self._get_quota(organisation).charge(self._now, tokens)
 
@@ -111,27 +113,30 @@
         return 0 if quota is None else quota.balance(self._now)
 
     def withdraw(self) -> None:
-        """State that the newest request is not sent, since it has no lines.
+        """Cancel the exchange because its request has no asks and is not sent.
 
-        Otherwise work that begins to wait would wait for its answer first.
+        Otherwise work that starts to wait would be delayed until the reply time-out.
         """
         self._is_exchange_open = False
         self._opened_at = self._previous_opened_at
 
     def want(self, organisation: str, tokens: int, first: int | None = None) -> None:
-        """State how many tokens the waiting work needs; 0 if none waits.
+        """Set the number of tokens that the waiting work needs; 0 if none waits.
 
         Parameters
         ----------
         organisation : str
-            Whose work waits.
+            Organisation whose work waits.
         tokens : int
-            Sum over all waiting work, replacing what was stated before.
+            Sum over all waiting work; replaces the previous value.
         first : int, optional
-            Tokens without which none of it can go on; all of them by default.
+            Tokens that the first item of the waiting work needs; below this number no
+            work can proceed. All of ``tokens`` by default.
         """
         if tokens < 0:
-            raise InvalidChargeError(f"want of {tokens} tokens")
+            raise InvalidChargeError(
+                f"cannot request {tokens} tokens: the number is negative"
+            )
         quota = self._get_quota(organisation)
         has_stopped_waiting = quota.is_queued_at_owner and quota.want > 0 and not tokens
         if has_stopped_waiting or tokens and not quota.want:
@@ -140,15 +145,15 @@
         quota.first_want = tokens if first is None else min(first, tokens)
 
     def pace(self, interval_s: float) -> None:
-        """State the time between two requests while no work waits, in seconds."""
+        """Set the interval of requests while no work waits, in seconds."""
         self._ask_interval_s = interval_s
 
     def keep(self, organisation: str, tokens: int) -> None:
-        """State how many tokens should be held while an organisation is in use."""
+        """Set the number of tokens to hold while an organisation is in use."""
         self._get_quota(organisation).min_held = tokens
 
     def release(self, now: float) -> None:
-        """Give up all tokens, for a planned stop; the next `asks` says so."""
+        """Give up all tokens before a planned stop; the next `asks` reports it."""
         self._advance_clock(now)
         for quota in self._quotas.values():
             quota.tokens = 0
@@ -162,10 +167,10 @@
         return BEST_PRIORITY if quota is None else quota.priority
 
     def retry_after_ms(self, organisation: str) -> int:
-        """Return when to come back, or 0 if work should wait for tokens.
+        """Return the retry-after time, or 0 if work should wait for tokens.
 
-        It is positive only if the owner said within the last lifetime that the
-        organisation has used up what its rate and burst allow.
+        The time is positive only if the owner reported within the last grant
+        lifetime that the organisation has used up its rate and burst.
         """
         quota = self._quotas.get(organisation)
         if quota is None or self._now >= quota.expires_at:
--- a/berylnotch/quota/messages.py
+++ b/berylnotch/quota/messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers and the owner of the limits."""
+"""Messages between routers and the quota owner."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 
 @frozen
 class QuotaAsk:
-    """One organisation's line of a `GrantRequest`, in tokens.
+    """Report and request of a router for one organisation, in tokens.
 
-    ``held`` may still be charged, ``spent`` counts since the router started,
-    ``want`` is asked for on top of ``held``, and with less than ``waiting`` of
-    it no waiting work can go on. ``queued`` is the part of it that all waiting work
-    needs; the rest is for use to come. A sender that does not tell has 0.
+    ``held`` tokens may still be charged. ``spent`` counts the tokens charged since
+    the router started. ``want`` is requested in addition to ``held``; with less than
+    ``waiting`` of it, no waiting work can proceed. ``queued`` is the part of ``want``
+    that all waiting work needs; the rest is for expected use. ``queued`` is 0 if the
+    sender does not report it.
     """
 
     organisation: str
@@ -25,7 +26,7 @@
 
 @frozen
 class GrantRequest:
-    """Router's periodic report to the quota owner, also its heartbeat."""
+    """Periodic report of a router to the quota owner; also the router's heartbeat."""
 
     vm: str
     incarnation: str
@@ -38,11 +39,11 @@
 
 @frozen
 class Grant:
-    """Tokens that a router may charge until the lifetime is over.
+    """Tokens that a router may charge until the lifetime ends.
 
-    ``tokens`` replaces what the request reported as held, and the lifetime
-    counts from when the request was sent. ``retry_after_ms`` is positive only
-    if the organisation has used up its rate and burst.
+    ``tokens`` replaces the number that the request reported as held. The lifetime
+    counts from the time at which the request was sent. ``retry_after_ms`` is positive
+    only if the organisation has used up its rate and burst.
     """
 
     organisation: str
@@ -54,10 +55,10 @@
 
 @frozen
 class GrantReply:
-    """Answer of the quota owner.
+    """Reply of the quota owner.
 
-    ``owner_term`` changes with the owner; grants of an older term stay valid
-    until their lifetime is over.
+    ``owner_term`` changes with the owner. Grants of an older term stay valid until
+    their lifetime ends.
     """
 
     owner_term: int
--- a/berylnotch/quota/owner.py
+++ b/berylnotch/quota/owner.py
@@ -1,4 +1,4 @@
-"""Owner of all organisations' buckets, run by the leading controller."""
+"""Owner of all organisations' token buckets, run by the leader of the controllers."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     from berylnotch.quota.messages import GrantRequest, QuotaAsk
     from berylnotch.quota.settings import QuotaSettings
 
-#: Time between two passes over all organisations and routers, in seconds.
+#: Interval of the sweep over all organisations and routers, in seconds.
 SWEEP_INTERVAL_S = 1.0
 
-#: Time for which the sequence number of a silent router is kept, in seconds.
+#: Time after its last request for which a router's sequence number is kept, in seconds.
 ROUTER_RETENTION_S = 600.0
 
 
@@ -41,10 +41,11 @@
 
 
 class QuotaOwner:
-    """Lends tokens of the organisations' buckets to routers.
+    """Grants tokens from the organisations' buckets to routers.
 
-    Only the leader runs it, and only while it has its lease. It starts with
-    empty buckets and refills none until grants of an earlier owner are over.
+    Only the leader runs the owner, and only while it holds the lease. Unless
+    ``takeover_part`` is positive, the owner starts with empty buckets and refills
+    none until the grants of the previous owner have expired.
 
     Parameters
     ----------
@@ -53,7 +54,7 @@
     term : int
         Term of the leader.
     now : float
-        Monotonic time, not before the lease of the earlier leader was over.
+        Monotonic time, not earlier than the end of the previous leader's lease.
     """
 
     def __init__(self, settings: QuotaSettings, term: int, now: float) -> None:
@@ -76,7 +77,11 @@
 
     @property
     def steady_from(self) -> float:
-        """Time from which grants of an earlier owner are over."""
+        """Monotonic time from which the owner grants tokens, in seconds.
+
+        Without a ``takeover_part``, the grants of the previous owner have expired
+        by then.
+        """
         return self._steady_from
 
     def grant(
@@ -90,17 +95,17 @@
             Monotonic time at which the lease was held, read after the request
             was received.
         request : GrantRequest
-            What the router holds, has spent and wants.
+            Tokens that the router holds, has spent and wants.
         organisations : Mapping[str, Limit]
-            Limits in force, by name; others are not granted anything.
+            Enforced limits by name. Other organisations get no grant.
 
         Returns
         -------
         reply : GrantReply
-            One grant for each ask. It is empty for a repeated or overtaken
-            request, whose reply the router does not take any more, and until
-            `steady_from`, so that routers keep what an earlier owner lent them
-            to its own end.
+            One grant for each ask. The reply has no grants if the request is
+            repeated or was overtaken, because the router discards that reply. It
+            also has none until `steady_from`, so that routers keep the tokens of the
+            previous owner until these expire.
         """
         self._now = max(self._now, now)
         router = f"{request.vm}/{request.incarnation}"
@@ -116,10 +121,10 @@
         return GrantReply(self._term, request.sequence, grants)
 
     def level(self, now: float, name: str, limit: Limit | None = None) -> float:
-        """Return the tokens of an organisation that may be lent.
+        """Return the number of an organisation's tokens that may be granted.
 
-        Without ``limit``, an organisation that no router has asked for yet has
-        level 0.
+        Without ``limit``, the level of an organisation is 0 until a router asks for
+        its tokens.
         """
         self._now = max(self._now, now)
         account = self._accounts.get(name)
@@ -182,7 +187,7 @@
         return Bucket(limit.rate, limit.burst, self._steady_from, initial_level)
 
     def _grant_size(self, account: _Account, router: str, ask: QuotaAsk) -> int:
-        """Return the tokens to lend: nothing, or enough for the first work."""
+        """Return the tokens to grant: 0, or enough for the first waiting work."""
         waiting = account.waiting
         level = account.bucket.level
         available = int(level - waiting.needed_ahead_of(router, level))
@@ -199,7 +204,7 @@
         return ask.waiting + max(0, advance_tokens)
 
     def _retry_after_ms(self, account: _Account, router: str) -> int:
-        """Return when a waiting router's work should come back, 0 if it may wait on."""
+        """Return the retry-after time of a router's waiting work, 0 if it may wait."""
         if self._now < self._started_at + self._settings.grace_s:
             return 0
         missing_tokens = account.waiting.wanted_through(router) - account.bucket.level
@@ -218,7 +223,7 @@
         return usage_priority(use, account.share, total_use, self._total_share)
 
     def _sweep(self, organisations: Mapping[str, Limit]) -> None:
-        """Sum the shares in use, and forget what is not needed any more."""
+        """Update the total share in use, and drop state that is no longer needed."""
         if self._now - self._swept_at < SWEEP_INTERVAL_S:
             return
         self._swept_at = self._now
--- a/berylnotch/quota/settings.py
+++ b/berylnotch/quota/settings.py
@@ -8,48 +8,53 @@
 
 @frozen
 class QuotaSettings:
-    """How tokens are lent to routers.
+    """Settings for granting tokens to routers.
 
     Parameters
     ----------
     lifetime_s : float, default=2.0
-        Lifetime of a grant, counted by the router from when it sent the
-        request. Longer bridges longer gaps in contact with the owner; a new
-        owner grants nothing for this long.
+        Lifetime of a grant in seconds, counted by the router from the time at which
+        it sent the request. A longer lifetime bridges longer losses of contact with
+        the owner, but a new owner grants no tokens for this time.
     drift : float, default=0.01
-        Largest relative difference in speed between two VMs' monotonic clocks;
-        the owner waits longer than the routers by this fraction.
+        Largest relative difference in speed between two VMs' monotonic clocks. The
+        owner extends the lifetime by this fraction.
     ask_interval_s : float, default=0.2
-        Time between two requests of a router, while no request waits.
+        Time in seconds between two requests of a router while no work waits.
     min_ask_gap_s : float, default=0.05
-        Shortest time between two requests, also when a request waits. Longer
-        gathers more organisations in one message and delays first tokens.
+        Shortest time in seconds between two requests, even while work waits. A
+        longer time batches more organisations in one message and increases the time
+        to first token.
     reply_timeout_s : float, default=0.5
-        Time after which a request to the owner is given up and sent anew.
+        Time in seconds after which a request to the owner is abandoned and a new one
+        is sent.
     horizon_s : float, default=0.6
-        Time for which a router holds tokens in advance, at its present use.
-        Longer saves messages and leaves less for other routers.
+        Time in seconds for which a router holds tokens in advance, at its present
+        rate of use. A longer time saves messages and leaves fewer tokens for other
+        routers.
     demand_window_s : float, default=3.0
-        Time constant of the average use from which a router foresees demand.
+        Time constant, in seconds, of the average use from which a router predicts
+        demand.
     wait_s : float, default=5.0
-        Longest wait for tokens that an organisation is expected to bear. The
-        owner lets an organisation be refused only beyond it.
+        Longest acceptable wait for tokens, in seconds. The owner gives a retry-after
+        time only if the expected wait is longer.
     grace_s : float, default=15.0
-        Time after a change of owner in which no organisation is refused for
-        lack of tokens, since the new owner cannot know its earlier use.
+        Time in seconds after a change of owner in which no organisation is refused
+        for lack of tokens, because the new owner does not know its earlier use.
     usage_window_s : float, default=60.0
-        Time constant of the average use behind the priority.
+        Time constant, in seconds, of the average use that determines the priority.
     takeover_part : float, default=0.0
-        Part of the burst that a new owner lends at once. With 0 it waits until the
-        grants of an earlier owner are over; else a window with a change of owner
-        may be charged so much more.
+        Fraction of the burst that a new owner grants at once. With 0, the new owner
+        waits until the grants of the previous owner have expired. Otherwise, charges
+        in a window with a change of owner may be higher by this fraction of the
+        burst.
     reserved_part : float, default=0.5
-        Part of the burst that is lent only to routers whose work waits for it. A
-        new owner's `takeover_part` must exceed it, or routers get nothing in
-        advance from it until the bucket has refilled.
+        Fraction of the burst that is granted only to routers with waiting work. The
+        `takeover_part` of a new owner must exceed it; otherwise routers get no tokens
+        in advance until the bucket has refilled.
     refused_leave : bool, default=False
-        Whether routers refuse all work that waits when they are told when to come
-        back, so that the owner keeps nothing back for it.
+        Whether routers refuse all waiting work when the owner gives a retry-after
+        time, so that the owner reserves no tokens for it.
     """
 
     lifetime_s: float = field(default=2.0, validator=gt(0))
@@ -68,5 +73,5 @@
 
     @property
     def owner_lifetime_s(self) -> float:
-        """Time after an answer until its tokens cannot be charged any more."""
+        """Time in seconds after a reply until its tokens can no longer be charged."""
         return self.lifetime_s * (1 + self.drift)
--- a/berylnotch/quota/usage.py
+++ b/berylnotch/quota/usage.py
@@ -1,4 +1,4 @@
-"""Average use of tokens over time, and the priority derived from it."""
+"""Average use of tokens over time, and the priority derived from this average."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 #: Priority of an organisation that uses exactly its share.
 EVEN_PRIORITY = 4
 
-#: Priority steps for each doubling of the use.
+#: Number of priority steps for each doubling of the use.
 STEPS_PER_DOUBLING = 2
 
 
@@ -23,9 +23,9 @@
     Parameters
     ----------
     window_s : float
-        Time constant of the decay.
+        Time constant of the decay, in seconds.
     now : float
-        Time of creation.
+        Time of creation, in seconds of the monotonic clock.
     """
 
     def __init__(self, window_s: float, now: float) -> None:
@@ -59,9 +59,9 @@
     Parameters
     ----------
     use, share : float
-        Use of the organisation and its weight.
-    total_use, total : float
-        Use and weight of all organisations together that use anything.
+        Use of the organisation in tokens a second, and its weight.
+    total_use, total_share : float
+        Sums of use and weight over all organisations with any use.
     """
     if use <= 0 or total_use <= 0:
         return BEST_PRIORITY
--- a/berylnotch/quota/waiting.py
+++ b/berylnotch/quota/waiting.py
@@ -1,4 +1,4 @@
-"""Routers that wait for tokens of one organisation, in turn."""
+"""First-in, first-out queue of routers that wait for one organisation's tokens."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @define
 class _WaitingRouter:
-    """``asked`` is when the router last said that it waits."""
+    """Demand of one waiting router in tokens, and the time of its latest ask."""
 
     want: int
     first_want: int
@@ -17,14 +17,14 @@
 class WaitQueue:
     """Order in which waiting routers are served.
 
-    A router keeps its place until it gets what its first work needs. What
-    those before it need is kept back for them, so that a large request is
-    reached as surely as a small one.
+    A router keeps its position until it gets the tokens that its first waiting work
+    needs. The tokens needed by the routers ahead of it are reserved for them, so that
+    a large request is not starved by small requests.
 
     Parameters
     ----------
-    keep_s : float
-        Time after which a router that has not asked again loses its place.
+    retention_s : float
+        Time in seconds after which a router that has not asked again is removed.
     """
 
     def __init__(self, retention_s: float) -> None:
@@ -36,7 +36,7 @@
         return len(self._entries)
 
     def wanted_through(self, router: str) -> int:
-        """Return what a router and those before it want, 0 if it has no place."""
+        """Return the tokens wanted by a router and all ahead of it, 0 if not queued."""
         if router not in self._entries:
             return 0
         wanted = 0
@@ -47,7 +47,7 @@
         return wanted
 
     def expire(self, now: float) -> None:
-        """Drop routers that have not asked again."""
+        """Remove routers that have not asked again within the retention time."""
         if now - self._expired_at < self._retention_s:
             return
         self._expired_at = now
@@ -61,7 +61,7 @@
             self.remove(name)
 
     def enqueue(self, now: float, router: str, want: int, first_want: int) -> None:
-        """Give the router a place, or keep the one that it has."""
+        """Append a router, or update its demand at its present position."""
         entry = self._entries.get(router)
         if entry is None:
             entry = _WaitingRouter(0, 0, now)
@@ -71,13 +71,13 @@
         entry.asked_at = now
 
     def remove(self, router: str) -> None:
-        """Give up the router's place, if it has one."""
+        """Remove a router if it is queued."""
         self._entries.pop(router, None)
 
     def needed_ahead_of(self, router: str, level: float) -> int:
-        """Return what the routers before this one need.
+        """Return the tokens that the routers ahead of this one need.
 
-        The sum is cut short once it exceeds ``level``.
+        The summation stops once the sum exceeds ``level``.
         """
         needed = 0
         for name, entry in self._entries.items():
--- a/tests/test_admission/test_many_routers.py
+++ b/tests/test_admission/test_many_routers.py
@@ -1,4 +1,4 @@
-"""Fair shares over several routers, by the priority that grants carry."""
+"""Fair shares across several routers, through the priority in the grants."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def test_organisation_on_one_router_gains_on_one_that_fills_them_all():
-    """Equal shares; by each router's own queue it would get half of one."""
+    """Guards against an organisation gaining share by sending to every router.
+
+    Both organisations have equal shares. If each router's queue ignored the use at
+    the other routers, the organisation with one router would get only half of it.
+    """
     queues = [FairQueue(AdmissionSettings()) for _ in range(N_ROUTERS)]
     use = {name: UsageAverage(20.0, 0.0) for name in ("everywhere", "here")}
     served = {"everywhere": 0, "here": 0}
--- a/tests/test_admission/test_properties.py
+++ b/tests/test_admission/test_properties.py
@@ -1,4 +1,4 @@
-"""Shares, bounded memory and no lost request, for any order of calls."""
+"""Fair queue properties in any order of calls: shares, bounded memory, no lost request."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     shares=st.tuples(st.integers(1, 9), st.integers(1, 9)),
 )
 def test_backlogged_organisations_get_their_shares(costs, shares):
-    """Start-time fair queueing's bound holds over every span of services."""
+    """The fairness bound of start-time fair queueing holds in every interval."""
     queue = FairQueue(AdmissionSettings(max_tickets=1000))
     for number, pair in enumerate(costs):
         for name, cost, share in zip("ab", pair, shares, strict=True):
@@ -47,7 +47,7 @@
 
 
 class FairQueueMachine(RuleBasedStateMachine):
-    """Every request offered is refused, or leaves exactly once."""
+    """Checks that each offered request is refused or leaves the queue exactly once."""
 
     def __init__(self):
         super().__init__()
@@ -107,7 +107,7 @@
 
     @rule()
     def drain(self):
-        """Whatever was set aside is found again."""
+        """Deferred organisations are served after `wake`."""
         for organisation in ORGANISATIONS:
             self.queue.wake(organisation)
         while (ticket := self.queue.pop(self.now, lambda _: True)) is not None:
--- a/tests/test_admission/test_queue.py
+++ b/tests/test_admission/test_queue.py
@@ -1,4 +1,4 @@
-"""Order, bounds and removal in the fair queue."""
+"""Service order, limits and removal of requests in the fair queue."""
 
 from __future__ import annotations
 
--- a/tests/test_admission/test_retry.py
+++ b/tests/test_admission/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries only where they are safe, within the budget."""
+"""Retries are made only where they are safe and within the budget."""
 
 from __future__ import annotations
 
--- a/tests/test_admission/test_window.py
+++ b/tests/test_admission/test_window.py
@@ -32,7 +32,7 @@
 
 
 def test_burst_of_failures_can_use_the_whole_budget_of_the_window():
-    # A token bucket that saves no more than its reserve would allow three.
+    # A token bucket capped at its reserve would allow only three retries.
     budget = WindowBudget(SETTINGS, WINDOW_S)
     for n in range(90):
         budget.earn(n / 10)
--- a/tests/test_quota/fakes.py
+++ b/tests/test_quota/fakes.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the tests of the limits."""
+"""Fakes and helpers for the quota tests."""
 
 from __future__ import annotations
 
--- a/tests/test_quota/test_bound.py
+++ b/tests/test_quota/test_bound.py
@@ -1,4 +1,4 @@
-"""No window is charged more than burst + rate x T, whatever fails."""
+"""No window of T seconds is charged more than burst + rate x T, under any failure."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @define
 class Router:
-    """A router whose clock runs at ``speed`` times the true time."""
+    """A router whose clock runs at ``speed`` times the speed of the true time."""
 
     name: str
     speed: float
@@ -38,7 +38,7 @@
 
 @frozen
 class Exchange:
-    """A request on its way, or its reply, between one router's incarnations."""
+    """A request of one router incarnation, or its reply, that is in flight."""
 
     quota: LocalQuota
     sent_at: float
@@ -46,10 +46,11 @@
 
 
 class QuotaMachine(RuleBasedStateMachine):
-    """Owners that follow each other, routers, and a network that may do all.
+    """Successive owners, routers, and a network that delays, reorders and repeats.
 
-    A virtual bucket that starts full and is emptied by the charges stays at or
-    above zero exactly if every window keeps the bound.
+    A virtual bucket starts full, is refilled at the rate and is drained by the
+    charges. Its level stays at or above zero if and only if every window keeps the
+    bound.
     """
 
     def __init__(self):
@@ -71,7 +72,7 @@
         return self.now * router.speed
 
     def _advance_time(self, seconds):
-        """Let time pass while others keep the owner busy."""
+        """Advance the time while other calls update the owner."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + 0.2)
@@ -122,7 +123,7 @@
 
     @rule(router=router_indexes, tokens=token_amounts, pause=pauses)
     def ask(self, router, tokens, pause):
-        """Send a request that is under way."""
+        """Send a request that stays in flight."""
         self._advance_time(pause)
         self._open_exchange(router, tokens)
 
@@ -133,7 +134,7 @@
         is_duplicated=st.booleans(),
     )
     def ask_owner(self, router, tokens, pause, is_duplicated):
-        """Ask and reach the owner, whose reply is under way."""
+        """Send a request that reaches the owner; the reply stays in flight."""
         self._advance_time(pause)
         self._open_exchange(router, tokens)
         self._deliver_request(-1, is_duplicated)
@@ -145,7 +146,7 @@
         is_duplicated=st.booleans(),
     )
     def obtain_grant(self, router, tokens, pause, is_duplicated):
-        """Ask and be answered at once; copies may turn up again later."""
+        """Complete an exchange at once; duplicates may arrive later."""
         self._advance_time(pause)
         self._open_exchange(router, tokens)
         self._deliver_request(-1, is_duplicated)
@@ -170,7 +171,7 @@
 
     @rule(pause=pauses)
     def charge_all(self, pause):
-        """Charge everything, then all that the owner still lends."""
+        """Charge all held tokens, then all tokens that the owner still grants."""
         self._advance_time(pause)
         for router in range(N_ROUTERS):
             self._charge_held(router)
@@ -194,7 +195,7 @@
 
     @rule(pause=pauses)
     def change_owner(self, pause):
-        """Begin a new lease after the old one; its replies may still arrive."""
+        """Start a new owner; replies of the old owner may still arrive."""
         self._advance_time(pause)
         self.owner = QuotaOwner(SETTINGS, self.owner.term + 1, self.now)
 
--- a/tests/test_quota/test_bounds.py
+++ b/tests/test_quota/test_bounds.py
@@ -1,4 +1,4 @@
-"""What a fleet enforces stays within the operators' bounds."""
+"""The limits that a fleet enforces stay within the operators' bounds."""
 
 import random
 
@@ -19,7 +19,7 @@
 BOUNDS = FleetBounds(quota_window_s=8, quota_overshoot=0.1, quota_slack=190_000)
 ORGANISATION = Organisation("alpha", ("k",), 0, 55_000, 112_000, True, 200)
 
-#: Wait for tokens as in `berylnotch.entry.settings.EntrySettings`, in seconds.
+#: Longest wait for tokens, as in `berylnotch.entry.settings.EntrySettings`, in seconds.
 MAX_WAIT_S = 0.45
 
 
@@ -30,7 +30,10 @@
 
 
 def simulate(seed, n_routers, demand_per_s, duration_s, failover_at):
-    """Return charges as pairs of time and tokens, over a change of owner."""
+    """Return the charges and the refusals, each as pairs of time and tokens.
+
+    The owner is replaced at ``failover_at`` unless it is None.
+    """
     rng = random.Random(seed)
     limits = effective_limits((ORGANISATION,), BOUNDS)
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
@@ -90,8 +93,8 @@
 
 
 def test_routers_wait_longer_than_the_owner_expects():
-    # The owner names a time to come back only beyond its own wait. A router that gave
-    # up earlier would refuse what it is about to get.
+    # The owner gives a retry-after time only if the expected wait exceeds its `wait_s`.
+    # A router with a shorter wait would refuse requests that are about to get tokens.
     assert EntrySettings().quota_wait_s > FLEET_QUOTA.wait_s
     limits = {"alpha": EffectiveLimit(10_000, 20_000)}
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
@@ -109,7 +112,7 @@
 
 
 def test_first_reply_of_a_new_owner_covers_demand_until_the_next_owner():
-    # The owner dies right after each router asked once, with nothing waiting.
+    # The owner crashes right after each router sent one request, with no work waiting.
     limits = {"alpha": EffectiveLimit(50_000, 175_000)}
     n_routers, period_s = 6, 2.0
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
--- a/tests/test_quota/test_grants.py
+++ b/tests/test_quota/test_grants.py
@@ -1,4 +1,4 @@
-"""Owner and routers together, without faults."""
+"""Exchanges between the owner and routers, without network faults."""
 
 from __future__ import annotations
 
@@ -147,7 +147,10 @@
 
 
 def test_new_owner_does_not_refund_tokens_granted_by_the_previous_owner(owner, router):
-    """Its bucket is empty until it has refilled it itself."""
+    """Guards against a report of older grants filling the new owner's bucket.
+
+    The bucket of the new owner is empty until the new owner has refilled it.
+    """
     now = STEADY_AT + 20
     router.want("clinic", 500)
     exchange(owner, router, now, LIMITS)
--- a/tests/test_quota/test_no_wrongful_refusal.py
+++ b/tests/test_quota/test_no_wrongful_refusal.py
@@ -1,4 +1,4 @@
-"""Organisations inside their rate are served, whatever others do."""
+"""Organisations within their rate are served, regardless of the load of others."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def draw_arrivals(rng, name, limit, n_routers, fraction, max_cost_fraction=1.0):
-    """Draw arrivals that keep to ``part`` of the rate and of the burst."""
+    """Draw arrivals that stay within ``fraction`` of the rate and of the burst."""
     level, at = limit.burst * fraction, 0.0
     drawn = []
     while True:
--- a/tests/test_quota/test_waiting_work.py
+++ b/tests/test_quota/test_waiting_work.py
@@ -1,4 +1,4 @@
-"""Tokens go to work that waits, and work that gave up is not waited for."""
+"""Tokens go to waiting work, and none are reserved for work that was abandoned."""
 
 import pytest
 from attrs import evolve
@@ -13,12 +13,12 @@
 
 LIMITS = {"alpha": EffectiveLimit(10_000, 20_000)}
 
-#: What a new owner lends at once.
+#: Tokens that a new owner grants at once.
 TAKEOVER_TOKENS = 20_000 * TAKEOVER_FRACTION
 
 
 class Router:
-    """A router's gate, and the outcomes of what it charged."""
+    """The quota gate of a router, and the outcomes of its charges."""
 
     def __init__(self, name, settings=FLEET_QUOTA):
         self.name = name
@@ -31,7 +31,7 @@
         )
 
     def exchange(self, owner, now):
-        """Ask the owner, if that is due."""
+        """Send a request to the owner if one is due; return its asks."""
         self.gate.serve(now)
         if now < self.gate.quota.next_ask_at:
             return None
@@ -59,7 +59,8 @@
     for router in routers:
         router.charge(0.01, 10_000)
         router.exchange(owner, 0.01)
-    # Level 8,600 and 10,000 a second: 0.14 s for the first, 1.1 s for the next.
+    # Level 8,600, refilled at 10,000 tokens a second: the first router waits 0.14 s,
+    # the second 1.1 s.
     assert [router.outcomes for router in routers] == [
         [],
         [Charge.OVER_LIMIT],
@@ -80,7 +81,7 @@
 
 
 def test_timed_out_work_leaves_the_queue():
-    # Such an owner expects that work waits on.
+    # With these settings the owner expects refused work to stay in the queue.
     settings = evolve(FLEET_QUOTA, refused_leave=False, wait_s=10.0)
     owner = QuotaOwner(settings, 1, 0.0)
     large, small = Router("large", settings), Router("small", settings)
@@ -100,7 +101,8 @@
 
 
 def test_reserve_is_not_granted_in_advance(owner):
-    # Each of many routers has a little that waits, and asks for more in advance.
+    # Each of many routers has a small request waiting, and asks for more tokens in
+    # advance.
     routers = [Router(f"r{n}") for n in range(40)]
     for router in routers:
         router.gate.quota.keep("alpha", 500)
