--- a/berylnotch/admission/queue.py
+++ b/berylnotch/admission/queue.py
@@ -32,7 +32,7 @@
 #: Retry-after time while the service rate is not known, in milliseconds.
 UNKNOWN_RETRY_MS = 1000
 
-#: Outdated heap entries that are tolerated in addition to two for each waiting request.
+#: Number of entries that a heap may hold beyond twice the number of waiting requests.
 COMPACTION_SLACK = 64
 
 
--- a/berylnotch/admission/retry.py
+++ b/berylnotch/admission/retry.py
@@ -44,7 +44,7 @@
 
 
 @frozen
-class Attempt:
+class FailedAttempt:
     """A failed attempt.
 
     Parameters
@@ -109,8 +109,8 @@
         return True
 
 
-def may_retry(
-    settings: RetrySettings, now: float, attempt: Attempt, has_budget: bool
+def decide_retry(
+    settings: RetrySettings, now: float, attempt: FailedAttempt, has_budget: bool
 ) -> RetryDecision:
     """Decide whether to make another attempt.
 
--- a/berylnotch/quota/holding.py
+++ b/berylnotch/quota/holding.py
@@ -145,8 +145,8 @@
 
     def _is_due(self, now: float, target_tokens: int) -> bool:
         held = self.balance(now)
-        # A router whose waiting work was refused since then asks once more, so that the
-        # owner stops reserving tokens for it and serves other routers.
+        # After a router refused its waiting work, it asks again, so that the owner
+        # stops reserving tokens for this work and serves other routers.
         if self.want or not self.is_answered or self.is_queued_at_owner:
             return True
         if held < LOW_FRACTION * target_tokens or held > HIGH_MULTIPLE * target_tokens:
--- a/berylnotch/quota/waiting.py
+++ b/berylnotch/quota/waiting.py
@@ -30,7 +30,7 @@
     def __init__(self, retention_s: float) -> None:
         self._retention_s = retention_s
         self._entries: dict[str, _WaitingRouter] = {}
-        self._expired_at = 0.0
+        self._last_expiry_at = 0.0
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -48,9 +48,9 @@
 
     def expire(self, now: float) -> None:
         """Remove routers that have not asked again within the retention time."""
-        if now - self._expired_at < self._retention_s:
+        if now - self._last_expiry_at < self._retention_s:
             return
-        self._expired_at = now
+        self._last_expiry_at = now
         oldest_kept = now - self._retention_s
         expired = [
             name
--- a/tests/test_admission/test_properties.py
+++ b/tests/test_admission/test_properties.py
@@ -1,4 +1,4 @@
-"""Fair queue properties in any order of calls: shares, bounded memory, no lost request."""
+"""Shares, bounded memory and no lost request in the fair queue, in any call order."""
 
 from __future__ import annotations
 
--- a/tests/test_admission/test_retry.py
+++ b/tests/test_admission/test_retry.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from berylnotch.admission.retry import (
-    Attempt,
+    FailedAttempt,
     RetryBudget,
     RetryDecision,
     RetrySettings,
-    may_retry,
+    decide_retry,
 )
 from berylnotch.streams.actions import RunMark
 
@@ -27,8 +27,10 @@
 def test_a_retry_is_always_safe_and_in_time(
     number, is_idempotent, mark, remaining_s, has_budget
 ):
-    attempt = Attempt(number, is_idempotent, mark, deadline=remaining_s, expected_s=1.0)
-    decision = may_retry(SETTINGS, 0.0, attempt, has_budget)
+    attempt = FailedAttempt(
+        number, is_idempotent, mark, deadline=remaining_s, expected_s=1.0
+    )
+    decision = decide_retry(SETTINGS, 0.0, attempt, has_budget)
     if decision is RetryDecision.RETRY:
         assert is_idempotent or mark is RunMark.NOT_RUN
         assert mark is not RunMark.RAN
@@ -36,8 +38,8 @@
 
 
 def test_idempotent_request_of_unknown_outcome_is_repeated():
-    attempt = Attempt(1, True, RunMark.UNKNOWN, deadline=5.0)
-    assert may_retry(SETTINGS, 0.0, attempt, True) is RetryDecision.RETRY
+    attempt = FailedAttempt(1, True, RunMark.UNKNOWN, deadline=5.0)
+    assert decide_retry(SETTINGS, 0.0, attempt, True) is RetryDecision.RETRY
 
 
 @given(st.lists(st.booleans(), max_size=300))
--- a/tests/test_quota/test_waiting_work.py
+++ b/tests/test_quota/test_waiting_work.py
@@ -59,8 +59,8 @@
     for router in routers:
         router.charge(0.01, 10_000)
         router.exchange(owner, 0.01)
-    # Level 8,600, refilled at 10,000 tokens a second: the first router waits 0.14 s,
-    # the second 1.1 s.
+    # Level 8,600, refilled at 10,000 tokens a second: the expected wait is 0.14 s for
+    # the first router and 1.1 s for the second.
     assert [router.outcomes for router in routers] == [
         [],
         [Charge.OVER_LIMIT],
@@ -81,7 +81,7 @@
 
 
 def test_timed_out_work_leaves_the_queue():
-    # With these settings the owner expects refused work to stay in the queue.
+    # With these settings the owner expects work to keep waiting at the routers.
     settings = evolve(FLEET_QUOTA, refused_leave=False, wait_s=10.0)
     owner = QuotaOwner(settings, 1, 0.0)
     large, small = Router("large", settings), Router("small", settings)
