--- a/berylnotch/admission/backlog.py
+++ b/berylnotch/admission/backlog.py
@@ -1,4 +1,4 @@
-"""Waiting requests of one organisation, and how fast they are served."""
+"""Queue of one organisation's waiting requests, with its average service rate."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from berylnotch.admission.ticket import Ticket
 
-#: Time with a backlog after which its service rate is believed, in seconds.
-MIN_BUSY_S = 0.5
+#: Shortest time with a backlog from which a service rate is derived, in seconds.
+MIN_BACKLOGGED_S = 0.5
 
-#: Entry number of an organisation that is not in the order of service.
+#: Entry number of an organisation that has no entry in a heap of the queue.
 NO_ENTRY = -1
 
 
@@ -22,93 +22,103 @@
     Parameters
     ----------
     window_s : float
-        Time constant of the average service rate.
+        Time constant of the average service rate, in seconds.
     now : float
-        Time of creation.
+        Time of creation, in seconds of the monotonic clock.
 
     Attributes
     ----------
-    start : float
+    start_tag : float
         Start tag of the oldest request, in virtual time.
-    entry : int
-        Number of the valid entry in the order of service or among those set
-        aside, or `NO_ENTRY`.
-    is_short : bool
+    entry_number : int
+        Number of the valid entry in the ready heap or the deferred heap, or
+        `NO_ENTRY`.
+    is_short_of_tokens : bool
         Whether the oldest request waits for the organisation's tokens.
-    is_parked : bool
-        Whether the organisation is set aside.
+    is_deferred : bool
+        Whether the organisation is in the deferred heap.
     """
 
     def __init__(self, window_s: float, now: float) -> None:
-        self.start = 0.0
-        self.entry = NO_ENTRY
-        self.is_short = False
-        self.is_parked = False
+        self.start_tag = 0.0
+        self.entry_number = NO_ENTRY
+        self.is_short_of_tokens = False
+        self.is_deferred = False
         self._window_s = window_s
         self._tickets: deque[Ticket] = deque()
-        self._live: set[str] = set()
-        self._cost = 0.0
-        self._served = 0.0
-        self._busy_s = 0.0
-        self._updated = now
+        self._waiting_ids: set[str] = set()
+        self._waiting_cost = 0.0
+        self._served_cost = 0.0
+        self._backlogged_s = 0.0
+        self._updated_at = now
 
     def __len__(self) -> int:
-        return len(self._live)
+        return len(self._waiting_ids)
 
     @property
-    def size(self) -> int:
-        """Requests in memory, with removed ones not yet dropped."""
+    def n_stored(self) -> int:
+        """Number of requests in memory, including removed ones not yet dropped."""
         return len(self._tickets)
 
     def add(self, now: float, ticket: Ticket) -> None:
         """Append a request."""
-        self._measure(now)
+        self._update_rate(now)
         self._tickets.append(ticket)
-        self._live.add(ticket.identity)
-        self._cost += ticket.cost
+        self._waiting_ids.add(ticket.identity)
+        self._waiting_cost += ticket.cost
 
     def head(self, now: float) -> Ticket | None:
         """Return the oldest request whose deadline has not passed."""
         while self._tickets:
             ticket = self._tickets[0]
-            if ticket.deadline > now and ticket.identity in self._live:
+            if ticket.deadline > now and ticket.identity in self._waiting_ids:
                 return ticket
             self._tickets.popleft()
         return None
 
     def remove(self, now: float, ticket: Ticket) -> None:
-        """Take out a request wherever it stands."""
-        self._measure(now)
-        self._live.remove(ticket.identity)
-        self._cost -= ticket.cost
-        if len(self._tickets) > 2 * len(self._live):
-            kept = (t for t in self._tickets if t.identity in self._live)
-            self._tickets = deque(kept)
+        """Remove a request at any position of the queue."""
+        self._update_rate(now)
+        self._waiting_ids.remove(ticket.identity)
+        self._waiting_cost -= ticket.cost
+        if len(self._tickets) > 2 * len(self._waiting_ids):
+            waiting = (t for t in self._tickets if t.identity in self._waiting_ids)
+            self._tickets = deque(waiting)
 
     def serve(self, now: float, ticket: Ticket) -> None:
-        """Take out a request that is sent to a target."""
-        self.is_short = False
+        """Remove a request that is sent to a target, and count its cost as served."""
+        self.is_short_of_tokens = False
         self.remove(now, ticket)
-        self._served += ticket.cost
+        self._served_cost += ticket.cost
 
     def expected_wait_s(self, now: float, cost: float = 0.0) -> float:
-        """Return how long a new request of ``cost`` would wait.
-
-        It is 0 as long as the service rate is not known. Time in which the
-        organisation lacked tokens is left out of the rate.
+        """Return the expected wait of a new request.
+
+        Parameters
+        ----------
+        now : float
+            Present time, in seconds.
+        cost : float, default=0.0
+            Cost of the new request, in tokens.
+
+        Returns
+        -------
+        float
+            Expected wait in seconds, or 0 as long as the service rate is not known.
+            Time in which the organisation lacked tokens does not count in the rate.
         """
-        self._measure(now)
-        if self._busy_s < MIN_BUSY_S or not self._served:
+        self._update_rate(now)
+        if self._backlogged_s < MIN_BACKLOGGED_S or not self._served_cost:
             return 0.0
-        return (self._cost + cost) * self._busy_s / self._served
+        return (self._waiting_cost + cost) * self._backlogged_s / self._served_cost
 
-    def _measure(self, now: float) -> None:
-        elapsed = now - self._updated
+    def _update_rate(self, now: float) -> None:
+        elapsed = now - self._updated_at
         if elapsed <= 0:
             return
-        self._updated = now
-        if not self._live or self.is_short:
+        self._updated_at = now
+        if not self._waiting_ids or self.is_short_of_tokens:
             return
         decay = math.exp(-elapsed / self._window_s)
-        self._served *= decay
-        self._busy_s = self._busy_s * decay + elapsed
+        self._served_cost *= decay
+        self._backlogged_s = self._backlogged_s * decay + elapsed
--- a/berylnotch/quota/bucket.py
+++ b/berylnotch/quota/bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket of one organisation, with the tokens lent out of it."""
+"""Token bucket of one organisation, with the grants that are outstanding from it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Limit(Protocol):
-    """What the quota owner reads of an organisation."""
+    """Interface through which the quota owner reads an organisation's limit."""
 
     @property
     def rate(self) -> float:
@@ -17,7 +17,7 @@
 
     @property
     def burst(self) -> float:
-        """Most tokens that may be used at once."""
+        """Largest number of tokens that may be used at once."""
 
     @property
     def share(self) -> float:
@@ -25,55 +25,55 @@
 
 
 @define
-class Loan:
-    """Tokens that one router may still charge, as the owner knows.
+class OutstandingGrant:
+    """Tokens that one router may still charge, as known to the owner.
 
-    ``spent`` is the router's total in its present incarnation when it last
-    reported; the loan cannot be charged from ``ends`` on.
+    ``spent`` is the total that the router's present incarnation last reported. The
+    grant cannot be charged from ``expires_at`` on.
     """
 
     tokens: int
     spent: int
-    ends: float
+    expires_at: float
 
 
 class Bucket:
-    """Token bucket whose level and loans together never exceed the burst.
+    """Token bucket whose level and outstanding grants together never exceed the burst.
 
-    Any token that is charged was lent before. So a window of T seconds is
-    charged at most the level and loans at its start, and what was refilled
-    since: burst + rate x T.
+    Each token that is charged was granted before. So the charges in a window of T
+    seconds are at most the level and the outstanding grants at its start, plus the
+    tokens refilled since: burst + rate x T.
 
     Parameters
     ----------
     rate, burst : float
-        Tokens a second, and most tokens at once.
-    refill_from : float
-        Time from which the bucket is refilled.
+        Tokens a second, and capacity in tokens.
+    refill_start : float
+        Monotonic time from which the bucket is refilled, in seconds.
     level : float, default=0.0
-        Tokens that it holds at first.
+        Initial number of tokens in the bucket.
     """
 
     def __init__(
-        self, rate: float, burst: float, refill_from: float, level: float = 0.0
+        self, rate: float, burst: float, refill_start: float, level: float = 0.0
     ) -> None:
         self._rate = rate
         self._burst = burst
         self._level = level
-        self._lent = 0
-        self._updated = refill_from
-        #: Loans by router, the first to end first.
-        self._loans: OrderedDict[str, Loan] = OrderedDict()
+        self._outstanding = 0
+        self._updated_at = refill_start
+        #: Outstanding grants by router, the first to expire first.
+        self._grants: OrderedDict[str, OutstandingGrant] = OrderedDict()
 
     @property
     def level(self) -> float:
-        """Tokens that may be lent, as of the last `advance`."""
+        """Tokens that may be granted, as of the last `advance`."""
         return self._level
 
     @property
-    def lent(self) -> int:
-        """Tokens that routers may still charge."""
-        return self._lent
+    def outstanding(self) -> int:
+        """Granted tokens that routers may still charge."""
+        return self._outstanding
 
     @property
     def rate(self) -> float:
@@ -82,85 +82,85 @@
 
     @property
     def burst(self) -> float:
-        """Most tokens at once."""
+        """Capacity in tokens."""
         return self._burst
 
     @property
     def is_idle(self) -> bool:
-        """Whether the bucket is full and nothing is lent."""
-        return not self._loans and self._level >= self._burst
+        """Whether the bucket is full and no grant is outstanding."""
+        return not self._grants and self._level >= self._burst
 
     def advance(self, now: float) -> None:
-        """Refill up to ``now`` and write off loans that have ended."""
-        while self._loans:
-            router, loan = next(iter(self._loans.items()))
-            if loan.ends > now:
+        """Refill the bucket up to ``now`` and write off expired grants."""
+        while self._grants:
+            router, grant = next(iter(self._grants.items()))
+            if grant.expires_at > now:
                 break
-            self._refill(loan.ends)
-            del self._loans[router]
-            self._lent -= loan.tokens
+            self._refill(grant.expires_at)
+            del self._grants[router]
+            self._outstanding -= grant.tokens
         self._refill(now)
 
     def resize(self, rate: float, burst: float) -> None:
-        """Take over changed limits; the level never rises by it."""
+        """Apply changed limits; this never raises the level."""
         self._rate = rate
         self._burst = burst
-        self._limit()
+        self._cap_level()
 
-    def report(self, router: str, held: int, spent: int) -> int:
-        """Take over what a router holds and has spent; return the new use.
+    def record_report(self, router: str, held: int, spent: int) -> int:
+        """Record the tokens that a router holds and has spent; return the new use.
 
-        Tokens that it neither holds nor spent go back to the level: it gave
-        them up, let them expire, or never received them.
+        Granted tokens that the router neither holds nor spent return to the bucket:
+        the router gave them up, let them expire, or never received them.
 
         Parameters
         ----------
         router : str
             Name of the router's incarnation.
         held : int
-            Tokens that it may charge.
+            Tokens that the router may charge.
         spent : int
-            Tokens that it has charged since it started.
+            Tokens that the router has charged since it started.
         """
-        loan = self._loans.get(router)
-        if loan is None:
-            loan = Loan(tokens=0, spent=spent, ends=0.0)
-            self._loans[router] = loan
-        used = max(0, spent - loan.spent)
-        kept = min(held, loan.tokens)
-        unused = max(0, loan.tokens - kept - used)
-        self._lent += kept - loan.tokens
-        loan.tokens = kept
-        loan.spent = spent
+        grant = self._grants.get(router)
+        if grant is None:
+            grant = OutstandingGrant(tokens=0, spent=spent, expires_at=0.0)
+            self._grants[router] = grant
+        used = max(0, spent - grant.spent)
+        still_held = min(held, grant.tokens)
+        unused = max(0, grant.tokens - still_held - used)
+        self._outstanding += still_held - grant.tokens
+        grant.tokens = still_held
+        grant.spent = spent
         self._level += unused
-        self._limit()
+        self._cap_level()
         return used
 
-    def lend(self, router: str, tokens: int, ends: float) -> int:
-        """Move tokens from the level to a router that has reported.
+    def grant(self, router: str, tokens: int, expires_at: float) -> int:
+        """Grant tokens from the bucket to a router that has reported before.
 
         Returns
         -------
         tokens : int
-            All tokens that the router may charge until ``ends``, from those
-            that it reported as held on.
+            All tokens that the router may charge until ``expires_at``, including
+            those that it reported as held.
         """
-        loan = self._loans[router]
-        loan.tokens += tokens
-        loan.ends = ends
-        self._loans.move_to_end(router)
+        grant = self._grants[router]
+        grant.tokens += tokens
+        grant.expires_at = expires_at
+        self._grants.move_to_end(router)
         self._level -= tokens
-        self._lent += tokens
-        return loan.tokens
+        self._outstanding += tokens
+        return grant.tokens
 
     def _refill(self, now: float) -> None:
-        elapsed = now - self._updated
+        elapsed = now - self._updated_at
         if elapsed <= 0:
             return
         self._level += self._rate * elapsed
-        self._updated = now
-        self._limit()
+        self._updated_at = now
+        self._cap_level()
 
-    def _limit(self) -> None:
-        room = max(0.0, self._burst - self._lent)
-        self._level = min(self._level, room)
+    def _cap_level(self) -> None:
+        max_level = max(0.0, self._burst - self._outstanding)
+        self._level = min(self._level, max_level)
--- a/berylnotch/quota/usage.py
+++ b/berylnotch/quota/usage.py
@@ -1,4 +1,4 @@
-"""Average use of tokens over time, and the priority derived from it."""
+"""Average use of tokens over time, and the priority derived from this average."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 #: Priority of an organisation that uses exactly its share.
 EVEN_PRIORITY = 4
 
-#: Priority steps for each doubling of the use.
+#: Number of priority steps for each doubling of the use.
 STEPS_PER_DOUBLING = 2
 
 
@@ -23,15 +23,15 @@
     Parameters
     ----------
     window_s : float
-        Time constant of the decay.
+        Time constant of the decay, in seconds.
     now : float
-        Time of creation.
+        Time of creation, in seconds of the monotonic clock.
     """
 
     def __init__(self, window_s: float, now: float) -> None:
         self._window_s = window_s
         self._tokens = 0.0
-        self._updated = now
+        self._updated_at = now
 
     def add(self, now: float, tokens: float) -> None:
         """Count tokens used at ``now``."""
@@ -44,25 +44,27 @@
         return self._tokens / self._window_s
 
     def _decay(self, now: float) -> None:
-        elapsed = now - self._updated
+        elapsed = now - self._updated_at
         if elapsed <= 0:
             return
         self._tokens *= math.exp(-elapsed / self._window_s)
-        self._updated = now
+        self._updated_at = now
 
 
-def usage_priority(use: float, share: float, total_use: float, total: float) -> int:
+def usage_priority(
+    use: float, share: float, total_use: float, total_share: float
+) -> int:
     """Return the priority of an organisation, 0 (best) to 9.
 
     Parameters
     ----------
     use, share : float
-        Use of the organisation and its weight.
-    total_use, total : float
-        Use and weight of all organisations together that use anything.
+        Use of the organisation in tokens a second, and its weight.
+    total_use, total_share : float
+        Sums of use and weight over all organisations with any use.
     """
     if use <= 0 or total_use <= 0:
         return BEST_PRIORITY
-    ratio = (use / share) / (total_use / total)
-    step = round(EVEN_PRIORITY + STEPS_PER_DOUBLING * math.log2(ratio))
-    return max(BEST_PRIORITY, min(WORST_PRIORITY, step))
+    ratio = (use / share) / (total_use / total_share)
+    priority = round(EVEN_PRIORITY + STEPS_PER_DOUBLING * math.log2(ratio))
+    return max(BEST_PRIORITY, min(WORST_PRIORITY, priority))
--- a/berylnotch/quota/waiting.py
+++ b/berylnotch/quota/waiting.py
@@ -1,4 +1,4 @@
-"""Routers that wait for tokens of one organisation, in turn."""
+"""First-in, first-out queue of routers that wait for one organisation's tokens."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 
 
 @define
-class _Entry:
-    """``asked`` is when the router last said that it waits."""
+class _WaitingRouter:
+    """Demand of one waiting router in tokens, and the time of its latest ask."""
 
     want: int
-    first: int
-    asked: float
+    first_want: int
+    asked_at: float
 
 
-class WaitingLine:
+class WaitQueue:
     """Order in which waiting routers are served.
 
-    A router keeps its place until it gets what its first work needs. What
-    those before it need is kept back for them, so that a large request is
-    reached as surely as a small one.
+    A router keeps its position until it gets the tokens that its first waiting work
+    needs. The tokens needed by the routers ahead of it are reserved for them, so that
+    a large request is not starved by small requests.
 
     Parameters
     ----------
-    keep_s : float
-        Time after which a router that has not asked again loses its place.
+    retention_s : float
+        Time in seconds after which a router that has not asked again is removed.
     """
 
-    def __init__(self, keep_s: float) -> None:
-        self._keep_s = keep_s
-        self._entries: dict[str, _Entry] = {}
-        self._cleaned = 0.0
+    def __init__(self, retention_s: float) -> None:
+        self._retention_s = retention_s
+        self._entries: dict[str, _WaitingRouter] = {}
+        self._last_expiry_at = 0.0
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def wanted_until(self, router: str) -> int:
-        """Return what a router and those before it want, 0 if it has no place."""
+    def wanted_through(self, router: str) -> int:
+        """Return the tokens wanted by a router and all ahead of it, 0 if not queued."""
         if router not in self._entries:
             return 0
         wanted = 0
@@ -46,38 +46,42 @@
                 break
         return wanted
 
-    def clean(self, now: float) -> None:
-        """Drop routers that have not asked again."""
-        if now - self._cleaned < self._keep_s:
+    def expire(self, now: float) -> None:
+        """Remove routers that have not asked again within the retention time."""
+        if now - self._last_expiry_at < self._retention_s:
             return
-        self._cleaned = now
-        oldest = now - self._keep_s
-        gone = [name for name, entry in self._entries.items() if entry.asked < oldest]
-        for name in gone:
-            self.leave(name)
-
-    def enter(self, now: float, router: str, want: int, first: int) -> None:
-        """Give the router a place, or keep the one that it has."""
+        self._last_expiry_at = now
+        oldest_kept = now - self._retention_s
+        expired = [
+            name
+            for name, entry in self._entries.items()
+            if entry.asked_at < oldest_kept
+        ]
+        for name in expired:
+            self.remove(name)
+
+    def enqueue(self, now: float, router: str, want: int, first_want: int) -> None:
+        """Append a router, or update its demand at its present position."""
         entry = self._entries.get(router)
         if entry is None:
-            entry = _Entry(0, 0, now)
+            entry = _WaitingRouter(0, 0, now)
             self._entries[router] = entry
         entry.want = want
-        entry.first = first
-        entry.asked = now
+        entry.first_want = first_want
+        entry.asked_at = now
 
-    def leave(self, router: str) -> None:
-        """Give up the router's place, if it has one."""
+    def remove(self, router: str) -> None:
+        """Remove a router if it is queued."""
         self._entries.pop(router, None)
 
-    def needed_before(self, router: str, level: float) -> int:
-        """Return what the routers before this one need.
+    def needed_ahead_of(self, router: str, level: float) -> int:
+        """Return the tokens that the routers ahead of this one need.
 
-        The sum is cut short once it exceeds ``level``.
+        The summation stops once the sum exceeds ``level``.
         """
         needed = 0
         for name, entry in self._entries.items():
             if name == router or needed > level:
                 break
-            needed += entry.first
+            needed += entry.first_want
         return needed
--- a/tests/test_admission/test_retry.py
+++ b/tests/test_admission/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries only where they are safe, within the budget."""
+"""Retries are made only where they are safe and within the budget."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from berylnotch.admission.retry import (
-    Attempt,
+    FailedAttempt,
     RetryBudget,
     RetryDecision,
     RetrySettings,
-    may_retry,
+    decide_retry,
 )
 from berylnotch.streams.actions import RunMark
 
@@ -19,32 +19,34 @@
 
 @given(
     number=st.integers(1, 5),
-    idempotent=st.booleans(),
+    is_idempotent=st.booleans(),
     mark=st.sampled_from(RunMark),
-    left_s=st.floats(-1, 3),
+    remaining_s=st.floats(-1, 3),
     has_budget=st.booleans(),
 )
 def test_a_retry_is_always_safe_and_in_time(
-    number, idempotent, mark, left_s, has_budget
+    number, is_idempotent, mark, remaining_s, has_budget
 ):
-    attempt = Attempt(number, idempotent, mark, deadline=left_s, expected_s=1.0)
-    decision = may_retry(SETTINGS, 0.0, attempt, has_budget)
+    attempt = FailedAttempt(
+        number, is_idempotent, mark, deadline=remaining_s, expected_s=1.0
+    )
+    decision = decide_retry(SETTINGS, 0.0, attempt, has_budget)
     if decision is RetryDecision.RETRY:
-        assert idempotent or mark is RunMark.NOT_RUN
+        assert is_idempotent or mark is RunMark.NOT_RUN
         assert mark is not RunMark.RAN
-        assert number < SETTINGS.max_attempts and left_s > 1.0 and has_budget
+        assert number < SETTINGS.max_attempts and remaining_s > 1.0 and has_budget
 
 
 def test_idempotent_request_of_unknown_outcome_is_repeated():
-    attempt = Attempt(1, True, RunMark.UNKNOWN, deadline=5.0)
-    assert may_retry(SETTINGS, 0.0, attempt, True) is RetryDecision.RETRY
+    attempt = FailedAttempt(1, True, RunMark.UNKNOWN, deadline=5.0)
+    assert decide_retry(SETTINGS, 0.0, attempt, True) is RetryDecision.RETRY
 
 
 @given(st.lists(st.booleans(), max_size=300))
-def test_retries_stay_a_part_of_the_first_attempts(calls):
+def test_retries_stay_within_the_ratio_to_first_attempts(attempts):
     budget = RetryBudget(SETTINGS)
     earned = spent = 0
-    for is_first in calls:
+    for is_first in attempts:
         if is_first:
             budget.earn()
             earned += 1
--- a/tests/test_quota/fakes.py
+++ b/tests/test_quota/fakes.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the tests of the limits."""
+"""Fakes and helpers for the quota tests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @frozen
-class Limits:
+class FakeLimit:
     rate: float
     burst: float
     share: float = 1.0
