--- a/berylnotch/streams/__init__.py
+++ b/berylnotch/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Sequence, end marker, resume and cancel of streamed answers."""
+"""Sequence check, end marker, resumption and cancellation of streamed responses."""
--- a/berylnotch/streams/actions.py
+++ b/berylnotch/streams/actions.py
@@ -1,4 +1,4 @@
-"""What an exchange asks its shell to do."""
+"""Actions that an `Exchange` returns and its driver, the server, carries out."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RunMark(Enum):
-    """Whether a target ran a request, as the caller is told."""
+    """Whether a target ran a request, as reported to the caller."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -45,18 +45,18 @@
 
 @frozen
 class StartAttempt:
-    """Choose a target and send it the request.
+    """Select a target and send the request to it.
 
     Attributes
     ----------
     number : int
-        Number of the attempt, from 1; every later input names it.
+        Number of the attempt, from 1; every later input of this attempt carries it.
     exclude : frozenset of str
-        Targets that just failed this request.
+        Targets that failed this request since the last event was delivered.
     resume_after : int
-        Number of the last event that the caller has.
+        Number of the last event that the caller has received.
     weights : str
-        Weights version that the target must have; empty if any will do.
+        Weights version that the target must serve; empty if any version is allowed.
     """
 
     number: int
@@ -67,21 +67,21 @@
 
 @frozen
 class WaitUntil:
-    """Call ``tick`` at this time, in seconds; the next attempt waits for it."""
+    """Call `Exchange.tick` at this time, in seconds, to start the next attempt."""
 
     time: float
 
 
 @frozen
 class CancelAttempt:
-    """Stop the attempt's transfer; its connection must not be used again."""
+    """Abort the attempt's transfer; its connection must not be reused."""
 
     number: int
 
 
 @frozen
 class AttemptFailed:
-    """An attempt ended without an answer; for health and crash accounting.
+    """An attempt failed; reported for health checks and crash accounting.
 
     Attributes
     ----------
@@ -90,7 +90,7 @@
     target : str
         Target that failed.
     cause : FailureCause
-        What was seen.
+        Why it failed.
     """
 
     number: int
@@ -100,14 +100,14 @@
 
 @frozen
 class PauseUpstream:
-    """Stop reading the attempt's answer."""
+    """Stop reading the attempt's response."""
 
     number: int
 
 
 @frozen
 class ResumeUpstream:
-    """Read the attempt's answer again."""
+    """Continue reading the attempt's response."""
 
     number: int
 
@@ -122,18 +122,18 @@
 
 @frozen
 class SendHead:
-    """Send the answer's head to the caller.
+    """Send the response head to the caller.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : tuple of Header
-        Fields of the target's answer that callers may see.
+        Header fields of the target's response that are passed to callers.
     mark : RunMark
         Whether a target ran the request.
     content_length : int or None
-        Length of the body in bytes; None for a stream.
+        Length of the body in bytes; None for a stream of events.
     """
 
     status: int
@@ -146,13 +146,13 @@
 class SendBytes:
     """Send bytes of the body to the caller.
 
-    One is made for each chunk of a stream, and a class that isn't frozen is
-    made in half the time.
+    An instance is created for each chunk of a stream. The class is not frozen,
+    because creating an instance of a frozen class takes twice as long.
 
     Attributes
     ----------
     data : bytes
-        Whole events of a stream, or a whole answer.
+        Complete events of a stream, or the complete body of a buffered response.
     events : int
         Number of events in ``data`` that an engine generated.
     """
@@ -170,19 +170,19 @@
     mark : RunMark
         Whether a target ran the request.
     reason : FinishReason
-        Why it ended.
+        Why the exchange ended.
     message : str
-        For people.
+        Human-readable description of the reason.
     status : int
-        HTTP status of the refusal to write; 0 if a head was sent.
+        HTTP status of the refusal to send; 0 if a response head was already sent.
     retry_after_s : float
-        When the caller may come back; 0 if unknown.
+        Time in seconds after which the caller may retry; 0 if unknown.
     position : int
         Number of the last event delivered.
     attempts : int
-        Attempts made.
+        Number of attempts made.
     keep_connection : bool
-        Whether the caller's connection can take another request.
+        Whether the caller's connection can be used for another request.
     """
 
     mark: RunMark
--- a/berylnotch/streams/answers.py
+++ b/berylnotch/streams/answers.py
@@ -1,4 +1,4 @@
-"""Answer of one attempt: a stream of events or a whole body."""
+"""Response of one attempt: a stream of events or a buffered body."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from berylnotch.streams.actions import RunMark, SendBytes, SendHead
 from berylnotch.streams.inputs import ExchangeSettings, ResponseHead
 from berylnotch.streams.scanner import EventScanner
-from berylnotch.streams.sequence import EventSequence, Numbered
+from berylnotch.streams.sequence import EventSequence, NumberedEvents
 
 #: Last event of a stream.
 END_MARKER = b"data: [DONE]\n\n"
 
-_NO_EVENTS = Numbered(b"", 0)
+_NO_EVENTS = NumberedEvents(b"", 0)
 
 
-class StreamAnswer:
-    """Events of one attempt, continued in the exchange's sequence.
+class StreamedResponse:
+    """Streamed response of one attempt; continues the exchange's event sequence.
 
     Attributes
     ----------
@@ -32,57 +32,59 @@
         self.is_ended = False
 
     @property
-    def buffered(self) -> int:
-        """Bytes of the event that isn't whole yet."""
-        return self._scanner.buffered
+    def buffered_bytes(self) -> int:
+        """Number of buffered bytes of the incomplete event."""
+        return self._scanner.buffered_bytes
 
-    def feed(self, data: bytes) -> Numbered:
-        """Return the new events of a chunk; raises `StreamError`."""
+    def feed(self, data: bytes) -> NumberedEvents:
+        """Return the new events that a chunk completes; raises `StreamError`."""
         result = self._scanner.feed(data)
-        self.is_ended = result.ended
+        self.is_ended = result.is_ended
         if not result.events and not result.end_number:
             return _NO_EVENTS
-        return self._sequence.take(result.complete, result.events, result.end_number)
+        return self._sequence.rewrite_ids(
+            result.complete, result.events, result.end_number
+        )
 
 
-class WholeAnswer:
-    """Body of one attempt, buffered until it is complete."""
+class BufferedResponse:
+    """Response of one attempt whose body is buffered until it is complete."""
 
-    __slots__ = ("_length", "_max_bytes", "_parts", "head")
+    __slots__ = ("_buffered_bytes", "_max_bytes", "_chunks", "head")
 
     def __init__(self, settings: ExchangeSettings, head: ResponseHead) -> None:
         self.head = head
         self._max_bytes = settings.max_answer_bytes
-        self._parts: list[bytes] = []
-        self._length = 0
+        self._chunks: list[bytes] = []
+        self._buffered_bytes = 0
 
     @property
-    def buffered(self) -> int:
-        """Bytes buffered."""
-        return self._length
+    def buffered_bytes(self) -> int:
+        """Number of buffered bytes of the body."""
+        return self._buffered_bytes
 
     def feed(self, data: bytes) -> bool:
-        """Buffer a chunk; return False if the answer is too long for that."""
-        if self._length + len(data) > self._max_bytes:
+        """Buffer a chunk; return False if the body would exceed the size limit."""
+        if self._buffered_bytes + len(data) > self._max_bytes:
             return False
-        self._length += len(data)
-        self._parts.append(data)
+        self._buffered_bytes += len(data)
+        self._chunks.append(data)
         return True
 
     def body(self) -> bytes:
-        """Return the body so far."""
-        return b"".join(self._parts)
+        """Return the bytes of the body received so far."""
+        return b"".join(self._chunks)
 
 
 @frozen
-class KeptAnswer:
-    """A complete answer that isn't a stream."""
+class CompleteResponse:
+    """Complete response that is not a stream of events."""
 
     head: ResponseHead
     body: bytes
 
-    def actions(self, mark: RunMark) -> tuple[SendHead | SendBytes, ...]:
-        """Return what sends the answer to the caller."""
+    def delivery_actions(self, mark: RunMark) -> tuple[SendHead | SendBytes, ...]:
+        """Return the actions that send the response to the caller."""
         head = self.head
         send_head = SendHead(head.status, head.headers, mark, len(self.body))
         return (send_head, SendBytes(self.body, 0)) if self.body else (send_head,)
--- a/berylnotch/streams/attempts.py
+++ b/berylnotch/streams/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one exchange: which targets failed, whether one ran, what to retry."""
+"""Attempts of one exchange: failed targets, run state and retry decisions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from attrs import define, field
 
 from berylnotch.streams.actions import FailureCause
-from berylnotch.streams.answers import StreamAnswer, WholeAnswer
+from berylnotch.streams.answers import BufferedResponse, StreamedResponse
 from berylnotch.streams.inputs import (
     ExchangeRequest,
     ExchangeSettings,
@@ -18,108 +18,112 @@
 
 @define
 class Attempt:
-    """The attempt that is under way.
+    """Attempt in progress.
 
     Attributes
     ----------
     number : int
         Number of the attempt, from 1.
     target, weights : str
-        Target, and its weights version as the router knows it.
-    started : bool
-        Whether the request may have begun to reach the target.
+        Target, and its weights version according to the router's state.
+    is_started : bool
+        Whether bytes of the request may have reached the target.
     head : ResponseHead or None
-        Head of the answer.
-    answer : StreamAnswer, WholeAnswer or None
-        Answer, once its head is accepted.
+        Head of the response.
+    response : StreamedResponse, BufferedResponse or None
+        Response; None until its head is accepted.
     has_events : bool
-        Whether an event arrived.
-    held : list of bytes
-        Bytes that arrived while the exchange was paused.
+        Whether an event has arrived.
+    held_chunks : list of bytes
+        Chunks that arrived while the exchange was paused.
     held_bytes : int
-        Their length.
+        Total length of ``held_chunks`` in bytes.
     held_end : UpstreamEnd or None
-        End of the transfer, if it came while the exchange was paused.
+        End of the transfer, if it arrived while the exchange was paused.
     """
 
     number: int
     target: str = ""
     weights: str = ""
-    started: bool = False
+    is_started: bool = False
     head: ResponseHead | None = None
-    answer: StreamAnswer | WholeAnswer | None = None
+    response: StreamedResponse | BufferedResponse | None = None
     has_events: bool = False
-    held: list[bytes] = field(factory=list)
+    held_chunks: list[bytes] = field(factory=list)
     held_bytes: int = 0
     held_end: UpstreamEnd | None = None
 
     @property
-    def answer_weights(self) -> str:
-        """Weights version of the answer, or of the target if it tells none."""
-        told = self.head.weights if self.head is not None else ""
-        return told or self.weights
+    def response_weights(self) -> str:
+        """Weights version that the response reports, or else that of the target."""
+        reported = self.head.weights if self.head is not None else ""
+        return reported or self.weights
 
     @property
-    def buffered(self) -> int:
-        """Bytes held for the attempt."""
-        answer = self.answer.buffered if self.answer is not None else 0
-        return answer + self.held_bytes
-
-    def start(self, target: str, weights: str) -> None:
-        """Record where the request goes now."""
+    def buffered_bytes(self) -> int:
+        """Number of bytes buffered for the attempt, in the response and on hold."""
+        response_bytes = (
+            self.response.buffered_bytes if self.response is not None else 0
+        )
+        return response_bytes + self.held_bytes
+
+    def record_start(self, target: str, weights: str) -> None:
+        """Record that the request is being sent to a target."""
         self.target = target
         self.weights = weights
-        self.started = True
+        self.is_started = True
 
-    def hold(self, data: bytes, limit_bytes: int) -> bool:
-        """Keep bytes until the exchange goes on; return False if too many."""
+    def hold_chunk(self, data: bytes, limit_bytes: int) -> bool:
+        """Hold a chunk until the exchange resumes; return False if over the limit."""
         if self.held_bytes + len(data) > limit_bytes:
             return False
-        self.held.append(data)
+        self.held_chunks.append(data)
         self.held_bytes += len(data)
         return True
 
-    def take_held(self) -> list[bytes]:
-        """Return the bytes held and hold none."""
-        held, self.held, self.held_bytes = self.held, [], 0
-        return held
+    def drain_held_chunks(self) -> list[bytes]:
+        """Return the held chunks and clear them."""
+        held_chunks, self.held_chunks, self.held_bytes = self.held_chunks, [], 0
+        return held_chunks
 
     def idle_timeout_s(self, settings: ExchangeSettings) -> float:
-        """Return how long the answer's next event may take."""
-        if not self.started:
+        """Return the timeout in seconds for the next event of the response."""
+        if not self.is_started:
             return math.inf
         if self.has_events:
             return settings.idle_timeout_s
         return settings.first_event_timeout_s
 
 
-class AttemptLog:
-    """Counts attempts and decides on retries.
+class AttemptTracker:
+    """Counts the attempts of an exchange and decides on retries.
 
-    Before the first event a few attempts are enough, since the caller can come
-    back. A stream that has begun is worth more patience.
+    Before the first event, the number of attempts without progress is limited to
+    ``max_attempts``, because the caller can repeat its request. After the first
+    event, attempts continue for ``resume_patience_s`` seconds without progress, up
+    to ``max_attempts_total`` in all.
     """
 
     def __init__(self, settings: ExchangeSettings, request: ExchangeRequest) -> None:
         self._settings = settings
         self._request = request
-        self._count = 0
-        self._fruitless = 0
+        self._attempt_count = 0
+        self._attempts_without_progress = 0
         self._position = request.resume_after
         self._stalled_since: float | None = None
-        self._exclude: frozenset[str] = frozenset()
+        self._excluded_targets: frozenset[str] = frozenset()
         self._may_have_run = False
         self._last_cause: FailureCause | None = None
 
     @property
-    def count(self) -> int:
-        """Attempts made."""
-        return self._count
+    def attempt_count(self) -> int:
+        """Number of attempts made."""
+        return self._attempt_count
 
     @property
-    def exclude(self) -> frozenset[str]:
+    def excluded_targets(self) -> frozenset[str]:
         """Targets that failed since the last event was delivered."""
-        return self._exclude
+        return self._excluded_targets
 
     @property
     def may_have_run(self) -> bool:
@@ -128,27 +132,27 @@
 
     @property
     def last_cause(self) -> FailureCause | None:
-        """Cause of the newest failure."""
+        """Cause of the most recent failure."""
         return self._last_cause
 
-    def begin(self) -> Attempt:
-        """Open the next attempt."""
-        self._count += 1
-        self._fruitless += 1
-        return Attempt(self._count)
+    def begin_attempt(self) -> Attempt:
+        """Return the next attempt and count it."""
+        self._attempt_count += 1
+        self._attempts_without_progress += 1
+        return Attempt(self._attempt_count)
 
-    def withdraw(self, now: float) -> None:
-        """Forget the newest attempt, for which there was no target."""
-        self._count -= 1
+    def discard_attempt(self, now: float) -> None:
+        """Remove the newest attempt from the count, because it had no target."""
+        self._attempt_count -= 1
         if self._stalled_since is None:
             self._stalled_since = now
 
-    def abandon(self, attempt: Attempt) -> None:
-        """Record an attempt that was cancelled through no fault of its target."""
-        self._may_have_run = self._may_have_run or attempt.started
-        self._fruitless -= 1
+    def record_cancellation(self, attempt: Attempt) -> None:
+        """Record an attempt that was cancelled without a failure of its target."""
+        self._may_have_run = self._may_have_run or attempt.is_started
+        self._attempts_without_progress -= 1
 
-    def fail(
+    def record_failure(
         self,
         now: float,
         attempt: Attempt,
@@ -163,9 +167,9 @@
         now : float
             Time in seconds.
         attempt : Attempt
-            The attempt.
+            Attempt that failed.
         cause : FailureCause
-            What was seen.
+            Why it failed.
         not_run : bool
             Whether it is proven that the target didn't run the request.
         position : int
@@ -175,37 +179,39 @@
         self._may_have_run = self._may_have_run or not not_run
         if position > self._position:
             self._position = position
-            self._fruitless = 1
+            self._attempts_without_progress = 1
             self._stalled_since = now
-            self._exclude = frozenset()
+            self._excluded_targets = frozenset()
         elif self._stalled_since is None:
             self._stalled_since = now
-        self._exclude = self._exclude | {attempt.target}
+        self._excluded_targets = self._excluded_targets | {attempt.target}
 
-    def may_retry(self, now: float, not_run: bool) -> bool:
-        """Whether another attempt is allowed after the newest failure."""
+    def can_retry(self, now: float, not_run: bool) -> bool:
+        """Return whether another attempt is allowed after the most recent failure."""
         if not (not_run or self._request.idempotent):
             return False
         if now >= self._request.deadline:
             return False
         if self._position:
-            return self.may_wait(now)
-        return self._fruitless < self._settings.max_attempts
+            return self.can_wait_for_target(now)
+        return self._attempts_without_progress < self._settings.max_attempts
 
-    def may_wait(self, now: float) -> bool:
-        """Whether a stream that has begun may go on looking for a target."""
+    def can_wait_for_target(self, now: float) -> bool:
+        """Return whether a stream that has begun may wait for another target."""
         if not self._position or self._stalled_since is None:
             return False
         if not self._request.idempotent:
             return False
-        within = self._count < self._settings.max_attempts_total
-        patient = now < self._stalled_since + self._settings.resume_patience_s
-        return within and patient
-
-    def wait_s(self) -> float:
-        """Return how long the next attempt waits."""
-        doublings = self._fruitless - 2
+        has_attempts_left = self._attempt_count < self._settings.max_attempts_total
+        is_in_resume_window = (
+            now < self._stalled_since + self._settings.resume_patience_s
+        )
+        return has_attempts_left and is_in_resume_window
+
+    def backoff_s(self) -> float:
+        """Return the back-off before the next attempt, in seconds."""
+        doublings = self._attempts_without_progress - 2
         if doublings < 0:
             return 0.0
-        wait_s = self._settings.retry_wait_s * 2.0 ** min(doublings, 16)
-        return min(wait_s, self._settings.retry_max_wait_s)
+        backoff_s = self._settings.retry_wait_s * 2.0 ** min(doublings, 16)
+        return min(backoff_s, self._settings.retry_max_wait_s)
--- a/berylnotch/streams/errors.py
+++ b/berylnotch/streams/errors.py
@@ -1,4 +1,4 @@
-"""Errors of streams."""
+"""Exceptions raised for streamed responses and stream references."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class StreamError(RequestError):
-    """A streamed answer can't go on."""
+    """A streamed response cannot be continued."""
 
 
 class EventTooLongError(StreamError):
-    """An event is longer than the scanner may buffer."""
+    """An event exceeds the buffer limit of the scanner."""
 
 
 class SequenceError(StreamError):
-    """Events of an answer are missing or carry no number."""
+    """Events of a response are missing or have no number."""
 
 
 class StreamReferenceError(StreamError):
-    """A caller's reference to a stream is malformed or not ours."""
+    """A stream reference is malformed or was not signed with the routers' secret."""
--- a/berylnotch/streams/exchange.py
+++ b/berylnotch/streams/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its first attempt to the last byte of its answer."""
+"""State machine of one request, from its first attempt to the end of its response."""
 
 from __future__ import annotations
 
@@ -21,13 +21,17 @@
 )
 from berylnotch.streams.answers import (
     END_MARKER,
-    KeptAnswer,
-    StreamAnswer,
-    WholeAnswer,
+    BufferedResponse,
+    CompleteResponse,
+    StreamedResponse,
 )
-from berylnotch.streams.attempts import Attempt, AttemptLog
+from berylnotch.streams.attempts import Attempt, AttemptTracker
 from berylnotch.streams.errors import SequenceError, StreamError
-from berylnotch.streams.heads import end_fault, head_fault, is_stream
+from berylnotch.streams.heads import (
+    classify_head_failure,
+    classify_transfer_failure,
+    is_stream,
+)
 from berylnotch.streams.inputs import (
     ExchangeRequest,
     ExchangeSettings,
@@ -38,26 +42,26 @@
 from berylnotch.streams.outcomes import (
     REFUSAL_STATUSES,
     RETRY_STATUSES,
-    UNKNOWN_STATUSES,
-    error_event,
-    reason_of,
-    reason_without_target,
+    RUN_UNKNOWN_STATUSES,
+    encode_error_event,
+    finish_reason_after_failure,
+    finish_reason_without_target,
 )
 from berylnotch.streams.sequence import EventSequence
 
-_NOTHING: tuple[Action, ...] = ()
+_NO_ACTIONS: tuple[Action, ...] = ()
 
 
 class Exchange:
-    """State machine of one request.
+    """State machine of one caller's request, without input or output of its own.
 
-    Each input returns the actions that follow from it, in order. Inputs of an
-    attempt that is no longer under way are ignored.
+    Each input method returns the actions that the driver has to carry out, in
+    order. Inputs of an attempt that is no longer in progress are ignored.
 
     Parameters
     ----------
     settings : ExchangeSettings
-        Bounds.
+        Limits and timeouts.
     request : ExchangeRequest
         The caller's request.
     """
@@ -65,29 +69,29 @@
     def __init__(self, settings: ExchangeSettings, request: ExchangeRequest) -> None:
         self._settings = settings
         self._request = request
-        self._log = AttemptLog(settings, request)
+        self._tracker = AttemptTracker(settings, request)
         self._sequence = EventSequence("", request.resume_after)
         self._weights = request.weights
         self._attempt: Attempt | None = None
-        self._kept: KeptAnswer | None = None
-        self._paused: set[PauseReason] = set()
-        self._start_waits = False
-        self._start_at = 0.0
-        self._head_sent = False
-        self._finished = False
-        self._ran = request.resume_after > 0
+        self._fallback_response: CompleteResponse | None = None
+        self._pause_reasons: set[PauseReason] = set()
+        self._is_start_pending = False
+        self._next_start_time = 0.0
+        self._is_head_sent = False
+        self._is_finished = False
+        self._has_run = request.resume_after > 0
         self._retry_after_s = 0.0
-        self._active_at = 0.0
+        self._last_activity_time = 0.0
 
     @property
     def is_finished(self) -> bool:
         """Whether the exchange is over."""
-        return self._finished
+        return self._is_finished
 
     @property
     def is_paused(self) -> bool:
-        """Whether there is a reason to pause."""
-        return bool(self._paused)
+        """Whether at least one reason to pause applies."""
+        return bool(self._pause_reasons)
 
     @property
     def position(self) -> int:
@@ -96,257 +100,277 @@
 
     @property
     def mark(self) -> RunMark:
-        """Whether a target ran the request, as far as is known now."""
-        if self._ran:
+        """Whether a target ran the request, according to the inputs so far."""
+        if self._has_run:
             return RunMark.RAN
         attempt = self._attempt
-        unknown = self._log.may_have_run or (attempt is not None and attempt.started)
-        return RunMark.UNKNOWN if unknown else RunMark.NOT_RUN
+        may_have_run = self._tracker.may_have_run or (
+            attempt is not None and attempt.is_started
+        )
+        return RunMark.UNKNOWN if may_have_run else RunMark.NOT_RUN
 
     @property
-    def buffered(self) -> int:
-        """Bytes held for this exchange."""
-        return self._attempt.buffered if self._attempt is not None else 0
+    def buffered_bytes(self) -> int:
+        """Number of bytes buffered for this exchange."""
+        return self._attempt.buffered_bytes if self._attempt is not None else 0
 
     def next_tick(self) -> float:
-        """Return the time at which ``tick`` has something to do."""
-        return min(self._request.deadline, self._due())
+        """Return the time in seconds at which ``tick`` has to be called next."""
+        return min(self._request.deadline, self._next_timer_time())
 
     def start(self, now: float) -> tuple[Action, ...]:
-        """Ask for the first attempt."""
+        """Start the first attempt."""
         return self._start_attempt(now)
 
     def attempt_started(
         self, now: float, number: int, target: str, weights: str = ""
     ) -> tuple[Action, ...]:
-        """Take note that the request goes to ``target`` now."""
-        attempt = self._current(number)
+        """Record that the request is being sent to ``target``."""
+        attempt = self._current_attempt(number)
         if attempt is not None:
-            attempt.start(target, weights)
-            self._active_at = now
-        return _NOTHING
+            attempt.record_start(target, weights)
+            self._last_activity_time = now
+        return _NO_ACTIONS
 
     def no_target(
         self, now: float, number: int, message: str, retry_after_s: float = 0.0
     ) -> tuple[Action, ...]:
-        """End, because no target can take the attempt that was asked for.
+        """End the exchange because no target is available for the attempt.
 
-        A stream that has begun waits instead, if ``retry_after_s`` says that
-        there may be a target later.
+        A stream that has begun waits for a target instead if ``retry_after_s`` is
+        not 0, meaning that a target may become available later.
         """
-        if self._current(number) is None:
-            return _NOTHING
+        if self._current_attempt(number) is None:
+            return _NO_ACTIONS
         self._attempt = None
-        self._log.withdraw(now)
-        if retry_after_s and self._log.may_wait(now):
-            return self._start_later(now)
+        self._tracker.discard_attempt(now)
+        if retry_after_s and self._tracker.can_wait_for_target(now):
+            return self._start_after_backoff(now)
         self._retry_after_s = max(self._retry_after_s, retry_after_s)
-        return self._end(reason_without_target(self._log.last_cause), message)
+        return self._end_exchange(
+            finish_reason_without_target(self._tracker.last_cause), message
+        )
 
     def head(self, now: float, number: int, head: ResponseHead) -> tuple[Action, ...]:
-        """Take the head of an attempt's answer."""
-        attempt = self._current(number)
+        """Process the head of an attempt's response."""
+        attempt = self._current_attempt(number)
         if attempt is None:
-            return _NOTHING
-        self._active_at = now
+            return _NO_ACTIONS
+        self._last_activity_time = now
         attempt.head = head
-        cause = head_fault(self._request, attempt, self._weights, self.position)
+        cause = classify_head_failure(
+            self._request, attempt, self._weights, self.position
+        )
         if cause is not None:
             self._retry_after_s = max(self._retry_after_s, head.retry_after_s)
-            return self._fail(now, cause, not_run=cause is FailureCause.REFUSED)
+            return self._fail_attempt(now, cause, not_run=cause is FailureCause.REFUSED)
         if is_stream(self._request, head):
-            attempt.answer = StreamAnswer(self._settings, self._sequence)
+            attempt.response = StreamedResponse(self._settings, self._sequence)
         else:
-            attempt.answer = WholeAnswer(self._settings, head)
-        return _NOTHING
+            attempt.response = BufferedResponse(self._settings, head)
+        return _NO_ACTIONS
 
     def body(self, now: float, number: int, data: bytes) -> tuple[Action, ...]:
-        """Take bytes of an attempt's answer."""
+        """Process a chunk of the body of an attempt's response."""
         attempt = self._attempt
         if attempt is None or attempt.number != number:
-            return _NOTHING
-        answer = attempt.answer
-        if isinstance(answer, StreamAnswer):
-            if self._paused:
-                return self._hold(now, attempt, data)
-            return self._take_events(now, attempt, answer, data)
-        if isinstance(answer, WholeAnswer) and not answer.feed(data):
-            return self._fail(now, FailureCause.TOO_LARGE)
-        return _NOTHING
+            return _NO_ACTIONS
+        response = attempt.response
+        if isinstance(response, StreamedResponse):
+            if self._pause_reasons:
+                return self._hold_chunk(now, attempt, data)
+            return self._on_stream_chunk(now, attempt, response, data)
+        if isinstance(response, BufferedResponse) and not response.feed(data):
+            return self._fail_attempt(now, FailureCause.TOO_LARGE)
+        return _NO_ACTIONS
 
     def upstream_end(
         self, now: float, number: int, end: UpstreamEnd
     ) -> tuple[Action, ...]:
-        """Take note that an attempt's transfer ended."""
-        attempt = self._current(number)
+        """Process the end of an attempt's transfer."""
+        attempt = self._current_attempt(number)
         if attempt is None:
-            return _NOTHING
-        if self._paused:
+            return _NO_ACTIONS
+        if self._pause_reasons:
             attempt.held_end = end
-            return _NOTHING
-        return self._take_end(now, attempt, end)
+            return _NO_ACTIONS
+        return self._on_transfer_end(now, attempt, end)
 
     def caller_gone(self, now: float) -> tuple[Action, ...]:
-        """End, because the caller closed its connection."""
-        return self._stop(FinishReason.CALLER_GONE, "caller closed the connection")
+        """End the exchange because the caller closed its connection."""
+        return self._cancel(FinishReason.CALLER_GONE, "caller closed the connection")
 
     def key_withdrawn(self, now: float) -> tuple[Action, ...]:
-        """End, because the caller's key was withdrawn."""
-        return self._stop(FinishReason.KEY_WITHDRAWN, "key was withdrawn")
+        """End the exchange because the caller's key was withdrawn."""
+        return self._cancel(FinishReason.KEY_WITHDRAWN, "key was withdrawn")
 
     def pause(self, now: float, reason: PauseReason) -> tuple[Action, ...]:
-        """Deliver nothing and start nothing until ``resume``."""
-        if self._finished:
-            return _NOTHING
-        was_paused = bool(self._paused)
-        self._paused.add(reason)
+        """Stop delivery and new attempts until ``resume`` is called for ``reason``."""
+        if self._is_finished:
+            return _NO_ACTIONS
+        was_paused = bool(self._pause_reasons)
+        self._pause_reasons.add(reason)
         attempt = self._attempt
         if was_paused or attempt is None or not self._request.stream:
-            return _NOTHING
+            return _NO_ACTIONS
         return (PauseUpstream(attempt.number),)
 
     def resume(self, now: float, reason: PauseReason) -> tuple[Action, ...]:
-        """Go on, unless another reason to pause remains."""
-        if self._finished or reason not in self._paused:
-            return _NOTHING
-        self._paused.discard(reason)
-        if self._paused:
-            return _NOTHING
-        self._active_at = now
-        if self._start_waits:
+        """Continue delivery unless another reason to pause remains."""
+        if self._is_finished or reason not in self._pause_reasons:
+            return _NO_ACTIONS
+        self._pause_reasons.discard(reason)
+        if self._pause_reasons:
+            return _NO_ACTIONS
+        self._last_activity_time = now
+        if self._is_start_pending:
             return self._start_attempt(now)
         attempt = self._attempt
-        return _NOTHING if attempt is None else self._release_held(now, attempt)
+        return (
+            _NO_ACTIONS if attempt is None else self._deliver_held_chunks(now, attempt)
+        )
 
     def tick(self, now: float) -> tuple[Action, ...]:
-        """Act on the deadline and on timeouts."""
-        if self._finished:
-            return _NOTHING
+        """Apply the deadline, timeouts and pending starts that are due at ``now``."""
+        if self._is_finished:
+            return _NO_ACTIONS
         if now >= self._request.deadline:
-            return self._stop(FinishReason.DEADLINE, "deadline passed")
-        if now < self._due():
-            return _NOTHING
-        if self._start_waits:
+            return self._cancel(FinishReason.DEADLINE, "deadline passed")
+        if now < self._next_timer_time():
+            return _NO_ACTIONS
+        if self._is_start_pending:
             return self._start_attempt(now)
-        return self._fail(now, FailureCause.TIMEOUT)
+        return self._fail_attempt(now, FailureCause.TIMEOUT)
 
-    def _current(self, number: int) -> Attempt | None:
+    def _current_attempt(self, number: int) -> Attempt | None:
         attempt = self._attempt
         return attempt if attempt is not None and attempt.number == number else None
 
-    def _start_later(self, now: float) -> tuple[Action, ...]:
-        self._start_at = now + self._log.wait_s()
+    def _start_after_backoff(self, now: float) -> tuple[Action, ...]:
+        self._next_start_time = now + self._tracker.backoff_s()
         return self._start_attempt(now)
 
-    def _due(self) -> float:
-        """Return when the next attempt starts or this one times out."""
+    def _next_timer_time(self) -> float:
+        """Return the time of the next attempt's start or of the current timeout."""
         attempt = self._attempt
-        if self._start_waits and not self._paused:
-            return self._start_at
-        if self._paused or attempt is None or not self._request.stream:
+        if self._is_start_pending and not self._pause_reasons:
+            return self._next_start_time
+        if self._pause_reasons or attempt is None or not self._request.stream:
             return math.inf
-        return self._active_at + attempt.idle_timeout_s(self._settings)
+        return self._last_activity_time + attempt.idle_timeout_s(self._settings)
 
     def _start_attempt(self, now: float) -> tuple[Action, ...]:
-        self._start_waits = bool(self._paused) or now < self._start_at
-        if self._start_waits:
-            return _NOTHING if self._paused else (WaitUntil(self._start_at),)
-        self._active_at = now
-        self._attempt = self._log.begin()
+        self._is_start_pending = (
+            bool(self._pause_reasons) or now < self._next_start_time
+        )
+        if self._is_start_pending:
+            return (
+                _NO_ACTIONS
+                if self._pause_reasons
+                else (WaitUntil(self._next_start_time),)
+            )
+        self._last_activity_time = now
+        self._attempt = self._tracker.begin_attempt()
         start = StartAttempt(
             number=self._attempt.number,
-            exclude=self._log.exclude,
+            exclude=self._tracker.excluded_targets,
             resume_after=self.position,
             weights=self._weights,
         )
         return (start,)
 
-    def _take_events(
-        self, now: float, attempt: Attempt, answer: StreamAnswer, data: bytes
+    def _on_stream_chunk(
+        self, now: float, attempt: Attempt, response: StreamedResponse, data: bytes
     ) -> tuple[Action, ...]:
-        if not self._head_sent:
-            weights = self._weights or attempt.answer_weights
+        if not self._is_head_sent:
+            weights = self._weights or attempt.response_weights
             self._sequence.set_base(self._request.sign_base(weights))
         try:
-            numbered = answer.feed(data)
+            numbered = response.feed(data)
         except SequenceError:
-            return self._fail(now, FailureCause.GAP)
+            return self._fail_attempt(now, FailureCause.GAP)
         except StreamError:
-            return self._fail(now, FailureCause.TOO_LARGE)
+            return self._fail_attempt(now, FailureCause.TOO_LARGE)
         if numbered.events:
             attempt.has_events = True
-            self._active_at = now
-            if self._head_sent and not answer.is_ended:
+            self._last_activity_time = now
+            if self._is_head_sent and not response.is_ended:
                 return (SendBytes(numbered.data, numbered.events),)
-        elif not answer.is_ended:
-            return _NOTHING
+        elif not response.is_ended:
+            return _NO_ACTIONS
         elif not self.position:
-            # Nothing but an end marker is what a dying engine sends.
-            return self._fail(now, FailureCause.EMPTY)
-        return self._pass_on(attempt, numbered.data, numbered.events)
+            # A crashing engine may send an end marker and no events.
+            return self._fail_attempt(now, FailureCause.EMPTY)
+        return self._deliver_events(attempt, numbered.data, numbered.events)
 
-    def _pass_on(
+    def _deliver_events(
         self, attempt: Attempt, data: bytes, events: int
     ) -> tuple[Action, ...]:
-        out: list[Action] = []
-        if not self._head_sent:
+        actions: list[Action] = []
+        if not self._is_head_sent:
             head = attempt.head
-            self._weights = self._weights or attempt.answer_weights
-            self._head_sent = True
-            self._ran = True
-            out.append(SendHead(head.status, head.headers, RunMark.RAN, None))
-        if not attempt.answer.is_ended:
-            return (*out, SendBytes(data, events))
-        finish = self._finish(FinishReason.COMPLETE)
-        return (*out, SendBytes(data + END_MARKER, events), finish)
-
-    def _take_end(
+            self._weights = self._weights or attempt.response_weights
+            self._is_head_sent = True
+            self._has_run = True
+            actions.append(SendHead(head.status, head.headers, RunMark.RAN, None))
+        if not attempt.response.is_ended:
+            return (*actions, SendBytes(data, events))
+        finish = self._build_finish(FinishReason.COMPLETE)
+        return (*actions, SendBytes(data + END_MARKER, events), finish)
+
+    def _on_transfer_end(
         self, now: float, attempt: Attempt, end: UpstreamEnd
     ) -> tuple[Action, ...]:
-        answer = attempt.answer
-        if isinstance(answer, WholeAnswer) and end.complete:
-            return self._take_whole(now, answer)
-        cause = end_fault(attempt, end)
+        response = attempt.response
+        if isinstance(response, BufferedResponse) and end.complete:
+            return self._on_buffered_response(now, response)
+        cause = classify_transfer_failure(attempt, end)
         not_run = not end.sent and attempt.head is None
-        return self._fail(now, cause, not_run=not_run, cancel=False)
+        return self._fail_attempt(now, cause, not_run=not_run, cancel=False)
 
-    def _take_whole(self, now: float, answer: WholeAnswer) -> tuple[Action, ...]:
-        head, body = answer.head, answer.body()
+    def _on_buffered_response(
+        self, now: float, response: BufferedResponse
+    ) -> tuple[Action, ...]:
+        head, body = response.head, response.body()
         if head.status in RETRY_STATUSES and self._request.idempotent:
-            self._kept = KeptAnswer(head, body)
-            return self._fail(now, FailureCause.ERROR_STATUS, cancel=False)
+            self._fallback_response = CompleteResponse(head, body)
+            return self._fail_attempt(now, FailureCause.ERROR_STATUS, cancel=False)
         if head.status == 200 and not self._request.is_whole(body):
-            return self._fail(now, FailureCause.EMPTY, cancel=False)
-        return self._deliver(KeptAnswer(head, body))
-
-    def _deliver(self, answer: KeptAnswer) -> tuple[Action, ...]:
-        self._ran = self._ran or answer.head.status not in UNKNOWN_STATUSES
-        self._head_sent = True
-        send = answer.actions(self.mark)
-        return (*send, self._finish(FinishReason.COMPLETE))
-
-    def _hold(self, now: float, attempt: Attempt, data: bytes) -> tuple[Action, ...]:
-        if attempt.hold(data, self._settings.max_held_bytes):
-            return _NOTHING
+            return self._fail_attempt(now, FailureCause.EMPTY, cancel=False)
+        return self._deliver_response(CompleteResponse(head, body))
+
+    def _deliver_response(self, response: CompleteResponse) -> tuple[Action, ...]:
+        self._has_run = (
+            self._has_run or response.head.status not in RUN_UNKNOWN_STATUSES
+        )
+        self._is_head_sent = True
+        send_actions = response.delivery_actions(self.mark)
+        return (*send_actions, self._build_finish(FinishReason.COMPLETE))
+
+    def _hold_chunk(
+        self, now: float, attempt: Attempt, data: bytes
+    ) -> tuple[Action, ...]:
+        if attempt.hold_chunk(data, self._settings.max_held_bytes):
+            return _NO_ACTIONS
         if not self._request.idempotent:
-            return self._fail(now, FailureCause.TOO_LARGE)
-        # What was held is asked for again once the exchange goes on.
+            return self._fail_attempt(now, FailureCause.TOO_LARGE)
+        # After the pause, the next attempt requests the held events again.
         self._attempt = None
-        self._log.abandon(attempt)
-        self._start_waits = True
+        self._tracker.record_cancellation(attempt)
+        self._is_start_pending = True
         return (CancelAttempt(attempt.number),)
 
-    def _release_held(self, now: float, attempt: Attempt) -> tuple[Action, ...]:
-        out: list[Action] = []
-        for data in attempt.take_held():
-            out.extend(self.body(now, attempt.number, data))
+    def _deliver_held_chunks(self, now: float, attempt: Attempt) -> tuple[Action, ...]:
+        actions: list[Action] = []
+        for data in attempt.drain_held_chunks():
+            actions.extend(self.body(now, attempt.number, data))
         if self._attempt is attempt and attempt.held_end is not None:
-            out.extend(self._take_end(now, attempt, attempt.held_end))
+            actions.extend(self._on_transfer_end(now, attempt, attempt.held_end))
         elif self._attempt is attempt and self._request.stream:
-            out.append(ResumeUpstream(attempt.number))
-        return tuple(out)
+            actions.append(ResumeUpstream(attempt.number))
+        return tuple(actions)
 
-    def _fail(
+    def _fail_attempt(
         self,
         now: float,
         cause: FailureCause,
@@ -355,46 +379,49 @@
     ) -> tuple[Action, ...]:
         attempt = self._attempt
         self._attempt = None
-        cancel_it = (CancelAttempt(attempt.number),) if cancel else _NOTHING
+        cancel_actions = (CancelAttempt(attempt.number),) if cancel else _NO_ACTIONS
         failed = AttemptFailed(attempt.number, attempt.target, cause)
-        self._log.fail(now, attempt, cause, not_run, self.position)
-        if self._log.may_retry(now, not_run):
-            then = self._start_later(now)
+        self._tracker.record_failure(now, attempt, cause, not_run, self.position)
+        if self._tracker.can_retry(now, not_run):
+            follow_up = self._start_after_backoff(now)
         else:
             message = f"attempt failed: {cause.value}"
-            then = self._end(reason_of(cause, not_run), message)
-        return (*cancel_it, failed, *then)
-
-    def _stop(self, reason: FinishReason, message: str) -> tuple[Action, ...]:
-        if self._finished:
-            return _NOTHING
-        self._kept = None
+            follow_up = self._end_exchange(
+                finish_reason_after_failure(cause, not_run), message
+            )
+        return (*cancel_actions, failed, *follow_up)
+
+    def _cancel(self, reason: FinishReason, message: str) -> tuple[Action, ...]:
+        if self._is_finished:
+            return _NO_ACTIONS
+        self._fallback_response = None
         attempt = self._attempt
         if attempt is None:
-            return self._end(reason, message)
-        self._log.abandon(attempt)
-        return (CancelAttempt(attempt.number), *self._end(reason, message))
-
-    def _end(self, reason: FinishReason, message: str) -> tuple[Action, ...]:
-        if self._kept is not None and not self._head_sent:
-            return self._deliver(self._kept)
-        finish = self._finish(reason, message)
-        if self._head_sent and reason is not FinishReason.CALLER_GONE:
-            return (SendBytes(error_event(reason, message), 0), finish)
+            return self._end_exchange(reason, message)
+        self._tracker.record_cancellation(attempt)
+        return (CancelAttempt(attempt.number), *self._end_exchange(reason, message))
+
+    def _end_exchange(self, reason: FinishReason, message: str) -> tuple[Action, ...]:
+        if self._fallback_response is not None and not self._is_head_sent:
+            return self._deliver_response(self._fallback_response)
+        finish = self._build_finish(reason, message)
+        if self._is_head_sent and reason is not FinishReason.CALLER_GONE:
+            return (SendBytes(encode_error_event(reason, message), 0), finish)
         return (finish,)
 
-    def _finish(self, reason: FinishReason, message: str = "") -> Finish:
-        mark = self.mark  # Read before the attempt is dropped, which may have run.
+    def _build_finish(self, reason: FinishReason, message: str = "") -> Finish:
+        # The mark has to be read before the attempt, which may have run, is cleared.
+        mark = self.mark
         self._attempt = None
-        self._finished = True
-        complete = reason is FinishReason.COMPLETE
+        self._is_finished = True
+        is_complete = reason is FinishReason.COMPLETE
         return Finish(
             mark=mark,
             reason=reason,
             message=message,
-            status=0 if self._head_sent else REFUSAL_STATUSES[reason],
-            retry_after_s=0.0 if complete else self._retry_after_s,
+            status=0 if self._is_head_sent else REFUSAL_STATUSES[reason],
+            retry_after_s=0.0 if is_complete else self._retry_after_s,
             position=self.position,
-            attempts=self._log.count,
-            keep_connection=complete or not self._head_sent,
+            attempts=self._tracker.attempt_count,
+            keep_connection=is_complete or not self._is_head_sent,
         )
--- a/berylnotch/streams/inputs.py
+++ b/berylnotch/streams/inputs.py
@@ -1,4 +1,4 @@
-"""What an exchange is told by its shell."""
+"""Inputs, settings and requests that the driver passes to an `Exchange`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PauseReason(Enum):
-    """Why an answer may not go on at present."""
+    """Why delivery of a response is paused."""
 
     KEY = "key"
     QUOTA = "quota"
@@ -20,29 +20,30 @@
 
 @frozen
 class ExchangeSettings:
-    """Bounds of one exchange.
+    """Limits and timeouts of one exchange.
 
     Attributes
     ----------
     max_attempts : int
-        Attempts before the first event.
+        Most attempts before the first event.
     max_attempts_total : int
-        Attempts in all.
+        Most attempts in all.
     retry_wait_s, retry_max_wait_s : float
-        Wait before the third attempt in a row that brings nothing, doubled for
-        each further one, and the longest wait. The second starts at once.
+        Back-off before the third consecutive attempt without progress, doubled for
+        each further one, and its upper limit. The second attempt starts at once.
     resume_patience_s : float
-        How long a stream that has begun looks for a target to go on with.
+        Time that a stream that has begun may spend without progress before the
+        search for another target ends.
     first_event_timeout_s : float
-        Time until a stream's first event.
+        Timeout for the first event of a stream.
     idle_timeout_s : float
-        Time between two chunks of a stream.
+        Timeout between two events of a stream.
     max_answer_bytes : int
-        Longest answer that is buffered whole.
+        Largest body of a buffered response.
     max_held_bytes : int
-        Most bytes of a stream held while it is paused.
+        Most bytes of a stream that are held while it is paused.
     max_event_bytes : int
-        Longest event of a stream.
+        Largest number of bytes buffered for an incomplete event of a stream.
     """
 
     max_attempts: int = 3
@@ -57,11 +58,11 @@
     max_event_bytes: int = 1024 * 1024
 
 
-def _accept_any(_body: bytes) -> bool:
+def _accept_any_body(_body: bytes) -> bool:
     return True
 
 
-def _no_base(_weights: str) -> str:
+def _empty_base(_weights: str) -> str:
     return ""
 
 
@@ -74,21 +75,22 @@
     request_id : str
         Identifier that targets echo.
     deadline : float
-        Time after which the caller gets no answer, in seconds.
+        Time in seconds after which the request is ended without a response.
     idempotent : bool
-        Whether a second run does no harm; true of generations.
+        Whether the request may be run more than once; True for generations.
     stream : bool
         Whether the caller asked for a stream of events.
     echo_required : bool
-        Whether an answer without the request's id is refused.
+        Whether a response without the request's identifier is rejected.
     resume_after : int
-        Number of the last event that the caller has from an earlier exchange.
+        Number of the last event that the caller received in an earlier exchange.
     weights : str
         Weights version of that earlier exchange; empty if there was none.
     sign_base : callable
-        Takes the weights version and returns the first part of event ids.
+        Takes the weights version and returns the signed base of the event ids.
     is_whole : callable
-        Whether the body of an answer with status 200 is a whole answer.
+        Takes the body of a response with status 200 and returns whether it is
+        complete.
     """
 
     request_id: str
@@ -98,32 +100,33 @@
     echo_required: bool = False
     resume_after: int = 0
     weights: str = ""
-    sign_base: Callable[[str], str] = field(default=_no_base, repr=False)
-    is_whole: Callable[[bytes], bool] = field(default=_accept_any, repr=False)
+    sign_base: Callable[[str], str] = field(default=_empty_base, repr=False)
+    is_whole: Callable[[bytes], bool] = field(default=_accept_any_body, repr=False)
 
 
 @frozen
 class ResponseHead:
-    """Head of a target's answer, as a gateway read it.
+    """Head of a target's response, as parsed by a gateway.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : tuple of Header
-        Fields that the caller may see.
+        Header fields that are passed to the caller.
     content_type : str
         Media type without parameters, in lower case.
     request_id : str
-        Echo of the request's id; empty if missing.
+        Request identifier that the target echoed; empty if missing.
     weights : str
-        Weights version of an engine; empty if missing.
+        Weights version that the engine reports; empty if missing.
     incarnation : str
-        Incarnation of an engine; empty if missing.
+        Incarnation that the engine reports; empty if missing.
     not_run : bool
-        Whether the target says that it didn't run the request.
+        Whether the target states that it did not run the request.
     retry_after_s : float
-        When the target would take the request; 0 if missing.
+        Time in seconds after which the target may accept the request; 0 if
+        missing.
     """
 
     status: int
@@ -143,7 +146,7 @@
     Attributes
     ----------
     complete : bool
-        Whether the answer ended as its framing says.
+        Whether the response ended as its HTTP framing declares.
     sent : bool
         Whether a byte of the request may have reached the target.
     """
--- a/berylnotch/streams/reference.py
+++ b/berylnotch/streams/reference.py
@@ -1,9 +1,9 @@
-"""Signed references by which a caller resumes its stream at any router.
+"""Signed references with which a caller resumes its stream at any router.
 
-An event's id is ``BASE.N``: ``BASE`` is signed once for a stream and names
-organisation, request and weights version; ``N`` is the event's number. ``N``
-needs no signature: a caller that changes it only asks for its own stream from
-another place.
+An event's id has the form ``BASE.N``. ``BASE`` is signed once per stream and
+encodes the organisation, the request and the weights version; ``N`` is the number
+of the event. ``N`` needs no signature: a caller that changes it only requests its
+own stream from another position.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 #: Length of a request's fingerprint, in bytes.
 FINGERPRINT_BYTES = 16
 _SIGNATURE_BYTES = 16
-_CONTEXT = b"berylnotch stream reference 1\0"
-_MAX_TEXT_LENGTH = 1024
-_TEXT = re.compile(r"([A-Za-z0-9_-]+)\.(0|[1-9][0-9]{0,8})")
+_SIGNATURE_CONTEXT = b"berylnotch stream reference 1\0"
+_MAX_REFERENCE_LENGTH = 1024
+_REFERENCE_PATTERN = re.compile(r"([A-Za-z0-9_-]+)\.(0|[1-9][0-9]{0,8})")
 
 
 @frozen
 class StreamPosition:
-    """Place in one stream.
+    """Position in one stream.
 
     Attributes
     ----------
     stream : bytes
         Random identifier of `STREAM_ID_BYTES`.
     organisation : str
-        Organisation whose key began the stream.
+        Organisation of the key that started the stream.
     fingerprint : bytes
         Fingerprint of the request, of `FINGERPRINT_BYTES`.
     weights : str
-        Weights version that the stream began with.
+        Weights version with which the stream started.
     position : int
         Number of the last event delivered; 0 before the first.
     """
@@ -54,7 +54,7 @@
 
 
 def fingerprint(organisation: str, path: str, body: bytes) -> bytes:
-    """Return the fingerprint of a request; equal requests have equal ones."""
+    """Return the fingerprint of a request; equal requests have equal fingerprints."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (organisation.encode(), path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -63,10 +63,10 @@
 
 
 def sign_base(secret: bytes, position: StreamPosition) -> str:
-    """Return the signed part that all events of a stream share."""
+    """Return the signed ``BASE`` that the ids of all events of a stream share."""
     payload = _pack(position)
-    text = base64.urlsafe_b64encode(payload + _signature(secret, payload))
-    return text.rstrip(b"=").decode()
+    encoded = base64.urlsafe_b64encode(payload + _signature(secret, payload))
+    return encoded.rstrip(b"=").decode()
 
 
 def sign(secret: bytes, position: StreamPosition) -> str:
@@ -74,30 +74,34 @@
     return f"{sign_base(secret, position)}.{position.position}"
 
 
-def verify(secret: bytes, text: str) -> StreamPosition:
-    """Return the position that a reference names.
+def verify(secret: bytes, reference: str) -> StreamPosition:
+    """Return the position that a reference encodes.
 
     Raises
     ------
     StreamReferenceError
-        If it is malformed or wasn't signed with ``secret``.
+        If the reference is malformed or was not signed with ``secret``.
     """
-    match = _TEXT.fullmatch(text) if len(text) <= _MAX_TEXT_LENGTH else None
+    match = (
+        _REFERENCE_PATTERN.fullmatch(reference)
+        if len(reference) <= _MAX_REFERENCE_LENGTH
+        else None
+    )
     if match is None:
         raise StreamReferenceError("malformed stream reference")
     base, number = match.groups()
     try:
-        data = base64.urlsafe_b64decode(base + "=" * (-len(base) % 4))
+        decoded = base64.urlsafe_b64decode(base + "=" * (-len(base) % 4))
     except binascii.Error as error:
         raise StreamReferenceError("malformed stream reference") from error
-    payload, signature = data[:-_SIGNATURE_BYTES], data[-_SIGNATURE_BYTES:]
+    payload, signature = decoded[:-_SIGNATURE_BYTES], decoded[-_SIGNATURE_BYTES:]
     if not hmac.compare_digest(signature, _signature(secret, payload)):
         raise StreamReferenceError("stream reference with a wrong signature")
     return evolve(_unpack(payload), position=int(number))
 
 
 def _signature(secret: bytes, payload: bytes) -> bytes:
-    digest = hmac.new(secret, _CONTEXT + payload, hashlib.sha256).digest()
+    digest = hmac.new(secret, _SIGNATURE_CONTEXT + payload, hashlib.sha256).digest()
     return digest[:_SIGNATURE_BYTES]
 
 
--- a/berylnotch/streams/sequence.py
+++ b/berylnotch/streams/sequence.py
@@ -1,4 +1,4 @@
-"""Numbers of a stream's events: checked against gaps and written for the caller."""
+"""Checks event numbers of a stream for gaps and rewrites the event ids."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 _BOUNDARY = b"\n\n"
 _ID_FIELD = b"id: "
-# A literal beginning is searched for several times faster than an alternation.
+# The search is several times faster for a pattern that begins with a literal than
+# for one that begins with an alternation.
 _EVENT_ID = re.compile(rb"\n\nid: (\d+)\n")
 _ID_LINE = re.compile(rb"(?:\A|\n)id: ?(\d+)(?=\n|\Z)")
 
 
 @define(slots=True, eq=False)
-class Numbered:
-    """Events ready for the caller.
+class NumberedEvents:
+    """Events with the ids that are sent to the caller.
 
     Attributes
     ----------
     data : bytes
-        Whole events with the caller's ids.
+        Complete events with the caller's ids.
     events : int
         Number of events in ``data``.
     """
@@ -32,17 +33,17 @@
 
 
 class EventSequence:
-    """Checks that events are continuous and gives them the caller's ids.
+    """Checks that event numbers have no gaps and rewrites ids for the caller.
 
-    Events with a number that was already delivered and comments are dropped.
+    Events whose number was already delivered are dropped, and so are comments.
 
     Parameters
     ----------
     base : str
-        First part of the caller's ids; with an empty base the ids stay as the
-        engine wrote them.
+        Signed base of the caller's ids, as returned by `reference.sign_base`. If it
+        is empty, the ids of the engine are kept.
     position : int, default=0
-        Number of the last event that the caller has.
+        Number of the last event that the caller has received.
     """
 
     __slots__ = ("_base", "_position")
@@ -57,53 +58,55 @@
         return self._position
 
     def set_base(self, base: str) -> None:
-        """Set the first part of the ids of the events that follow."""
+        """Set the base of the ids of all following events."""
         self._base = f"{base}.".encode()
 
-    def take(self, data: bytes, events: int, end_number: int = 0) -> Numbered:
-        """Pass whole events on.
+    def rewrite_ids(
+        self, data: bytes, events: int, end_number: int = 0
+    ) -> NumberedEvents:
+        """Check the numbers of complete events and rewrite their ids.
 
         Parameters
         ----------
         data : bytes
-            Whole events.
+            Complete events.
         events : int
-            How many.
+            Number of events in ``data``.
         end_number : int, default=0
-            Number of the end marker that follows them; 0 if it has none.
+            Number of the end marker that follows the events; 0 if it has none.
 
         Raises
         ------
         SequenceError
-            If an event is missing or has no number. None of ``data`` is taken
-            then, so that events before the gap are asked for again.
+            If an event is missing or has no number. The position then stays
+            unchanged, so that events before the gap are requested again.
         """
-        first = self._position + 1
+        first_number = self._position + 1
         if events == 1:
-            continuous = data.startswith(b"id: %d\n" % first)
+            is_continuous = data.startswith(b"id: %d\n" % first_number)
         else:
             numbers = _EVENT_ID.findall(_BOUNDARY + data)
-            continuous = len(numbers) == events and numbers == [
-                b"%d" % n for n in range(first, first + events)
+            is_continuous = len(numbers) == events and numbers == [
+                b"%d" % n for n in range(first_number, first_number + events)
             ]
-        if not continuous:
-            return self._take_each(data, end_number)
-        _check_end(self._position + events, end_number)
+        if not is_continuous:
+            return self._rewrite_each(data, end_number)
+        _check_end_number(self._position + events, end_number)
         self._position += events
-        return Numbered(self._with_base(data), events)
+        return NumberedEvents(self._replace_bases(data), events)
 
-    def _with_base(self, data: bytes) -> bytes:
+    def _replace_bases(self, data: bytes) -> bytes:
         if not self._base or not data:
             return data
-        # A line feed can't stand in the JSON of an event, so that this only
-        # meets id fields.
-        start = _ID_FIELD + self._base
+        # JSON contains no raw line feed, so the separator followed by "id: " can only
+        # be the start of the next event.
+        id_field = _ID_FIELD + self._base
         rest = data[len(_ID_FIELD) :]
-        return start + rest.replace(_BOUNDARY + _ID_FIELD, _BOUNDARY + start)
+        return id_field + rest.replace(_BOUNDARY + _ID_FIELD, _BOUNDARY + id_field)
 
-    def _take_each(self, data: bytes, end_number: int) -> Numbered:
+    def _rewrite_each(self, data: bytes, end_number: int) -> NumberedEvents:
         position = self._position
-        kept = []
+        rewritten = []
         for event in data.split(_BOUNDARY)[:-1]:
             if event.startswith(b":") and b"\n" not in event:
                 continue
@@ -111,25 +114,29 @@
             if number <= position:
                 continue
             if number != position + 1:
-                raise SequenceError(f"event {number} came after event {position}")
+                raise SequenceError(
+                    f"gap in the stream: event {number} follows event {position}"
+                )
             position = number
-            kept.append(self._rewrite(number, event))
-        _check_end(position, end_number)
+            rewritten.append(self._rewrite_id(number, event))
+        _check_end_number(position, end_number)
         self._position = position
-        return Numbered(b"".join(kept), len(kept))
+        return NumberedEvents(b"".join(rewritten), len(rewritten))
 
-    def _rewrite(self, number: int, event: bytes) -> bytes:
+    def _rewrite_id(self, number: int, event: bytes) -> bytes:
         fields = [line for line in event.split(b"\n") if not line.startswith(b"id:")]
         return b"id: %b%d\n%b\n\n" % (self._base, number, b"\n".join(fields))
 
 
-def _check_end(position: int, end_number: int) -> None:
+def _check_end_number(position: int, end_number: int) -> None:
     if end_number > position + 1:
-        raise SequenceError(f"end {end_number} came after event {position}")
+        raise SequenceError(
+            f"gap in the stream: end marker {end_number} follows event {position}"
+        )
 
 
 def _event_number(event: bytes) -> int:
     match = _ID_LINE.search(event)
     if match is None:
-        raise SequenceError("event without a number")
+        raise SequenceError("event has no id field with a number")
     return int(match.group(1))
--- a/tests/test_streams/test_reference.py
+++ b/tests/test_streams/test_reference.py
@@ -29,23 +29,25 @@
 @given(_positions)
 def test_round_trip(position):
     assert verify(SECRET, sign(SECRET, position)) == position
-    text = f"{sign_base(SECRET, position)}.{position.position}"
-    assert verify(SECRET, text) == position
+    reference = f"{sign_base(SECRET, position)}.{position.position}"
+    assert verify(SECRET, reference) == position
 
 
 @given(_positions, st.data())
 def test_changed_base_is_refused(position, data):
     base, number = sign(SECRET, position).split(".")
-    at = data.draw(st.integers(0, len(base) - 2))
-    other = data.draw(st.sampled_from("AZaz09-_").filter(lambda c: c != base[at]))
+    index = data.draw(st.integers(0, len(base) - 2))
+    replacement = data.draw(
+        st.sampled_from("AZaz09-_").filter(lambda c: c != base[index])
+    )
     with pytest.raises(StreamReferenceError):
-        verify(SECRET, f"{base[:at]}{other}{base[at + 1 :]}.{number}")
+        verify(SECRET, f"{base[:index]}{replacement}{base[index + 1 :]}.{number}")
 
 
 @given(st.text(max_size=60))
-def test_any_text_is_refused_cleanly(text):
+def test_unsigned_text_is_refused(reference):
     with pytest.raises(StreamReferenceError):
-        verify(SECRET, text)
+        verify(SECRET, reference)
 
 
 def test_other_secret_is_refused():
@@ -54,11 +56,11 @@
         verify(b"t" * 32, sign(SECRET, position))
 
 
-def test_fingerprint_tells_organisations_and_paths_apart():
-    prints = {
+def test_fingerprint_distinguishes_organisations_and_paths():
+    fingerprints = {
         fingerprint(organisation, path, body)
         for organisation in ("a", "ab")
         for path in ("/x", "b/x")
         for body in (b"", b"1")
     }
-    assert len(prints) == 8
+    assert len(fingerprints) == 8
--- a/tests/test_streams/test_scanner.py
+++ b/tests/test_streams/test_scanner.py
@@ -7,7 +7,7 @@
 from berylnotch.streams.errors import EventTooLongError
 from berylnotch.streams.scanner import EventScanner
 
-END = b"data: [DONE]\n\n"
+END_MARKER = b"data: [DONE]\n\n"
 _texts = st.text(
     st.sampled_from('ab {}:"[DONE]data: id: é'), min_size=1, max_size=30
 ).filter(lambda text: text.strip() != "[DONE]")
@@ -18,8 +18,8 @@
 )
 
 
-def cut(data, cuts):
-    bounds = sorted({0, len(data), *(c % (len(data) + 1) for c in cuts)})
+def split_at(data, offsets):
+    bounds = sorted({0, len(data), *(c % (len(data) + 1) for c in offsets)})
     return [data[a:b] for a, b in zip(bounds, bounds[1:], strict=False)]
 
 
@@ -27,7 +27,7 @@
     scanner = EventScanner()
     results = [scanner.feed(chunk) for chunk in chunks]
     data = b"".join(r.complete for r in results)
-    return data, sum(r.events for r in results), scanner.ended
+    return data, sum(r.events for r in results), scanner.is_ended
 
 
 @given(
@@ -36,19 +36,19 @@
     st.sampled_from((b"\n", b"\r\n", b"\r")),
     st.lists(st.integers(0, 500), max_size=20),
 )
-def test_any_cut_gives_the_same_events(events, ended, line_end, cuts):
-    data = b"".join(events) + (END + b"rest" if ended else b"data: part")
-    chunks = cut(data.replace(b"\n", line_end), cuts)
-    assert scan(chunks) == (b"".join(events), len(events), ended)
+def test_events_do_not_depend_on_chunk_boundaries(events, is_ended, line_end, offsets):
+    data = b"".join(events) + (END_MARKER + b"rest" if is_ended else b"data: part")
+    chunks = split_at(data.replace(b"\n", line_end), offsets)
+    assert scan(chunks) == (b"".join(events), len(events), is_ended)
 
 
 @given(st.lists(_events, min_size=1, max_size=4), st.integers(1, 40))
-def test_only_whole_events_leave(events, missing):
+def test_only_complete_events_are_returned(events, missing_bytes):
     data = b"".join(events)
-    complete, count, ended = scan([data[: max(0, len(data) - missing)]])
+    complete, count, is_ended = scan([data[: max(0, len(data) - missing_bytes)]])
     assert b"".join(events).startswith(complete)
     assert count < len(events)
-    assert not ended
+    assert not is_ended
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
     assert scan([b"data: a\n\n\n\n", data]) == (b"data: a\n\n", 1, True)
 
 
-def test_number_of_the_end_marker():
+def test_end_marker_number_is_read():
     scanner = EventScanner()
     result = scanner.feed(b"id: 1\ndata: a\n\nid: 2\ndata: [DONE]\n\n")
     assert (result.events, result.end_number) == (1, 2)
@@ -76,4 +76,4 @@
     scanner.feed(b"data: " + b"x" * 90)
     with pytest.raises(EventTooLongError):
         scanner.feed(b"x" * 10)
-    assert scanner.buffered <= 100
+    assert scanner.buffered_bytes <= 100
--- a/tests/test_streams/test_sequence.py
+++ b/tests/test_streams/test_sequence.py
@@ -8,60 +8,64 @@
 from berylnotch.streams.sequence import EventSequence
 
 
-def event(number):
+def engine_event(number):
     return b'id: %d\ndata: {"text": "id: %d"}\n\n' % (number, number)
 
 
-def for_caller(number):
-    return event(number).replace(b"id: ", b"id: B.", 1)
+def caller_event(number):
+    return engine_event(number).replace(b"id: ", b"id: B.", 1)
 
 
 @given(st.integers(0, 20), st.integers(1, 9))
-def test_continuous_events_get_the_base(position, count):
+def test_ids_of_continuous_events_get_the_base(position, count):
     sequence = EventSequence("B", position)
     numbers = range(position + 1, position + 1 + count)
-    numbered = sequence.take(b"".join(map(event, numbers)), count)
-    assert numbered.data == b"".join(map(for_caller, numbers))
+    numbered = sequence.rewrite_ids(b"".join(map(engine_event, numbers)), count)
+    assert numbered.data == b"".join(map(caller_event, numbers))
     assert (numbered.events, sequence.position) == (count, position + count)
 
 
 @given(st.lists(st.integers(1, 9), min_size=1, max_size=9))
 def test_duplicates_are_dropped_and_gaps_refused(numbers):
     sequence = EventSequence("B")
-    expected, gap = [], False
+    expected, has_gap = [], False
     for number in numbers:
-        gap = gap or number > len(expected) + 1
-        if not gap and number == len(expected) + 1:
+        has_gap = has_gap or number > len(expected) + 1
+        if not has_gap and number == len(expected) + 1:
             expected.append(number)
-    data = b"".join(map(event, numbers))
-    if gap:
+    data = b"".join(map(engine_event, numbers))
+    if has_gap:
         with pytest.raises(SequenceError):
-            sequence.take(data, len(numbers))
+            sequence.rewrite_ids(data, len(numbers))
         assert sequence.position == 0
     else:
-        numbered = sequence.take(data, len(numbers))
-        assert numbered.data == b"".join(map(for_caller, expected))
+        numbered = sequence.rewrite_ids(data, len(numbers))
+        assert numbered.data == b"".join(map(caller_event, expected))
         assert sequence.position == numbered.events == len(expected)
 
 
-@pytest.mark.parametrize("data", [b"", event(1), event(1) + event(1)])
-def test_gap_before_the_end_marker_takes_nothing(data):
+@pytest.mark.parametrize(
+    "data", [b"", engine_event(1), engine_event(1) + engine_event(1)]
+)
+def test_gap_before_the_end_marker_leaves_position_unchanged(data):
     sequence = EventSequence("B")
     with pytest.raises(SequenceError):
-        sequence.take(data, data.count(b"\n\n"), end_number=3)
+        sequence.rewrite_ids(data, data.count(b"\n\n"), end_number=3)
     assert sequence.position == 0
-    assert sequence.take(event(1), 1, end_number=2).data == for_caller(1)
-    assert sequence.take(b"", 0, end_number=2).data == b""
+    assert sequence.rewrite_ids(engine_event(1), 1, end_number=2).data == caller_event(
+        1
+    )
+    assert sequence.rewrite_ids(b"", 0, end_number=2).data == b""
 
 
-def test_comments_are_dropped_and_other_forms_of_ids_read():
+def test_comments_are_dropped_and_other_id_forms_are_read():
     sequence = EventSequence("B")
     data = b": ping\n\ndata: a\nid:1\n\nevent: e\nid: 2\ndata: b\n\n"
-    assert sequence.take(data, 3).data == (
+    assert sequence.rewrite_ids(data, 3).data == (
         b"id: B.1\ndata: a\n\nid: B.2\nevent: e\ndata: b\n\n"
     )
 
 
 def test_event_without_number_is_refused():
     with pytest.raises(SequenceError):
-        EventSequence("B").take(b"data: a\n\n", 1)
+        EventSequence("B").rewrite_ids(b"data: a\n\n", 1)
