--- a/berylnotch/server/__init__.py
+++ b/berylnotch/server/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers."""
+"""HTTP server and request path for callers."""
--- a/berylnotch/server/app.py
+++ b/berylnotch/server/app.py
@@ -1,4 +1,4 @@
-"""WSGI application towards callers."""
+"""WSGI application that reads and checks callers' requests."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
     from berylnotch.server.context import Context
     from berylnotch.server.engine import RequestPath
 
-#: Paths below this prefix are the system's own.
-OWN_PREFIX = "/berylnotch/"
-ADDRESS_PATH = OWN_PREFIX + "address"
-HEALTH_PATH = OWN_PREFIX + "health"
-#: Seconds that a streamed answer may take in all.
-_STREAM_LIMIT_S = 3600.0
+#: Prefix of the paths that the router answers itself.
+SYSTEM_PREFIX = "/berylnotch/"
+ADDRESS_PATH = SYSTEM_PREFIX + "address"
+HEALTH_PATH = SYSTEM_PREFIX + "health"
+#: Longest duration of a streamed answer, in seconds.
+_STREAM_TIMEOUT_S = 3600.0
 
 
 @frozen
-class _Accepted:
-    """A request whose key and route were found."""
+class _ResolvedRequest:
+    """A request with its route, and with the organisation of a verified key."""
 
     caller: intake.CallerRequest
     key: str = field(repr=False)
@@ -54,10 +54,14 @@
         """Name of the organisation; empty on an open route."""
         return self.organisation.name if self.organisation is not None else ""
 
-    def job(
-        self, service: Service, mark: bytes, limit_s: float, is_idempotent: bool
+    def make_job(
+        self,
+        service: Service,
+        request_fingerprint: bytes,
+        timeout_s: float,
+        is_idempotent: bool,
     ) -> Job:
-        """Return the job of this request, without what a language call adds."""
+        """Return the job of this request, without the fields of a language call."""
         return Job(
             request=self.caller,
             key=self.key,
@@ -65,9 +69,9 @@
             organisation=self.organisation,
             route=self.route,
             service=service,
-            fingerprint=mark,
+            fingerprint=request_fingerprint,
             arrived_at=self.arrived_at,
-            deadline=self.arrived_at + limit_s,
+            deadline=self.arrived_at + timeout_s,
             idempotent=is_idempotent,
         )
 
@@ -75,15 +79,15 @@
 class App:
     """Reads and checks requests, and hands them to the request path.
 
-    Runs in the HTTP server's threads. It only reads the view, which is
-    replaced or extended by single operations.
+    Runs in the HTTP server's threads. It only reads the view, and needs no lock
+    because the view is replaced or extended by single operations.
 
     Parameters
     ----------
     context : Context
         Shared state.
     path : RequestPath
-        Where checked requests go.
+        Receives the checked requests.
     key_secret : bytes
         Key of the keyed hashes of callers' keys.
     stream_secret : bytes
@@ -101,7 +105,7 @@
         self._path = path
         self._key_secret = key_secret
         self._stream_secret = stream_secret
-        self._turns = itertools.count()
+        self._address_counter = itertools.count()
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
@@ -110,10 +114,10 @@
         request = Request(environ)
         caller = None
         try:
-            if request.path.startswith(OWN_PREFIX):
-                return self._own(request)(environ, start_response)
+            if request.path.startswith(SYSTEM_PREFIX):
+                return self._serve_system_path(request)(environ, start_response)
             caller = intake.read_request(request)
-            found = self._serve(request, caller)
+            result = self._resolve_request(request, caller)
         except Refusal as refusal:
             request_id = caller.request_id if caller else intake.request_id(request)
             self._context.metrics.count(
@@ -121,13 +125,15 @@
                 Label("organisation", ""),
                 Label("reason", refusal.code),
             )
-            found = _refusal_response(refusal, request_id)
-        if isinstance(found, Response):
-            return found(environ, start_response)
-        self._path.submit(found, environ[DETACH_KEY]())
+            result = _refusal_response(refusal, request_id)
+        if isinstance(result, Response):
+            return result(environ, start_response)
+        self._path.submit(result, environ[DETACH_KEY]())
         return []
 
-    def _serve(self, request: Request, caller: intake.CallerRequest) -> Job | Response:
+    def _resolve_request(
+        self, request: Request, caller: intake.CallerRequest
+    ) -> Job | Response:
         arrived_at = time.monotonic()
         route = self._context.view.fleet.route(request.path)
         if route is None:
@@ -137,16 +143,18 @@
         organisation = None
         if not route.open:
             key_hash = hash_key(self._key_secret, key)
-            organisation = self._organisation(self._held_key(key, key_hash))
+            organisation = self._find_organisation(self._authenticate(key, key_hash))
         service = self._context.view.fleet.services[route.service]
-        accepted = _Accepted(caller, key, key_hash, organisation, route, arrived_at)
+        resolved = _ResolvedRequest(
+            caller, key, key_hash, organisation, route, arrived_at
+        )
         if service.kind is not ServiceKind.LANGUAGE:
-            return self._plain_job(accepted, service)
-        if request.path == route.prefix.rstrip("/") + intake.MODELS:
-            return self._models(caller)
-        return self._language_job(accepted, service)
+            return self._make_plain_job(resolved, service)
+        if request.path == route.prefix.rstrip("/") + intake.MODELS_PATH:
+            return self._list_models(caller)
+        return self._make_language_job(resolved, service)
 
-    def _held_key(self, key: str, key_hash: bytes) -> HeldKey:
+    def _authenticate(self, key: str, key_hash: bytes) -> HeldKey:
         if not key:
             raise Refusal(401, "missing_key", "send a key: Authorization: Bearer KEY")
         if not self._context.freshness.is_fresh(time.monotonic()):
@@ -156,69 +164,73 @@
                 "keys cannot be verified at present",
                 retry_after_s=responses.SHORT_RETRY_S,
             )
-        held = self._context.view.find_key(key_hash)
-        if held is None:
+        key_record = self._context.view.find_key(key_hash)
+        if key_record is None:
             raise Refusal(401, "invalid_key", "the key is not accepted")
-        return held
+        return key_record
 
-    def _organisation(self, held: HeldKey) -> Organisation:
-        organisation = self._context.view.fleet.organisations.get(held.organisation)
+    def _find_organisation(self, key_record: HeldKey) -> Organisation:
+        organisation = self._context.view.fleet.organisations.get(
+            key_record.organisation
+        )
         if organisation is None:
             raise Refusal(401, "invalid_key", "the key's organisation is not served")
         return organisation
 
-    def _language_job(self, accepted: _Accepted, routed: Service) -> Job:
-        caller, route = accepted.caller, accepted.route
+    def _make_language_job(
+        self, resolved: _ResolvedRequest, route_service: Service
+    ) -> Job:
+        caller, route = resolved.caller, resolved.route
         call = intake.read_language_call(caller.body, _is_chat(caller, route))
-        service = self._service_of(call.model, routed)
-        name = accepted.organisation_name
+        service = self._find_service(call.model, route_service)
+        organisation_name = resolved.organisation_name
         piece_bytes = self._context.settings.placement.piece_bytes
-        prompt = Prompt(name, service.name, call.prompt, piece_bytes)
-        # Hashing belongs in this thread; the loop finds the chain made.
+        prompt = Prompt(organisation_name, service.name, call.prompt, piece_bytes)
+        # Hashes the prefix chain here, to keep this work out of the loop's thread.
         prompt.chain(service.weights)
-        job = accepted.job(
+        job = resolved.make_job(
             service,
-            fingerprint(name, caller.path, caller.body),
-            limit_s=_STREAM_LIMIT_S if call.stream else route.timeout_s,
+            fingerprint(organisation_name, caller.path, caller.body),
+            timeout_s=_STREAM_TIMEOUT_S if call.stream else route.timeout_s,
             is_idempotent=True,
         )
         job.language = call
         job.prompt = prompt
         if caller.last_event_id and call.stream:
-            self._resume(job, caller.last_event_id)
+            self._set_resume_position(job, caller.last_event_id)
         return job
 
-    def _plain_job(self, accepted: _Accepted, service: Service) -> Job:
-        caller, route = accepted.caller, accepted.route
-        asked = f"{caller.method} {caller.path}?{caller.query}"
-        return accepted.job(
+    def _make_plain_job(self, resolved: _ResolvedRequest, service: Service) -> Job:
+        caller, route = resolved.caller, resolved.route
+        request_line = f"{caller.method} {caller.path}?{caller.query}"
+        return resolved.make_job(
             service,
-            fingerprint(accepted.organisation_name, asked, caller.body),
-            limit_s=route.timeout_s,
+            fingerprint(resolved.organisation_name, request_line, caller.body),
+            timeout_s=route.timeout_s,
             is_idempotent=caller.method in route.idempotent_methods,
         )
 
-    def _service_of(self, model: str, routed: Service) -> Service:
-        if model in routed.models:
-            return routed
+    def _find_service(self, model: str, route_service: Service) -> Service:
+        if model in route_service.models:
+            return route_service
         service = self._context.view.fleet.service_of_model(model)
         if service is None:
             raise Refusal(404, "model_not_found", f"model {model!r} is not served")
         return service
 
-    def _resume(self, job: Job, reference: str) -> None:
+    def _set_resume_position(self, job: Job, reference: str) -> None:
         try:
             position = verify(self._stream_secret, reference)
         except StreamReferenceError as error:
             raise Refusal(400, "invalid_last_event_id", str(error)) from error
-        known = (job.organisation_name, job.fingerprint)
-        if (position.organisation, position.fingerprint) != known:
+        expected = (job.organisation_name, job.fingerprint)
+        if (position.organisation, position.fingerprint) != expected:
             message = "Last-Event-ID belongs to another request"
             raise Refusal(400, "invalid_last_event_id", message)
         job.resume_after = position.position
         job.resume_weights = position.weights
 
-    def _models(self, caller: intake.CallerRequest) -> Response:
+    def _list_models(self, caller: intake.CallerRequest) -> Response:
         services = self._context.view.fleet.services.values()
         data = [
             {"id": model, "object": "model", "created": 0, "owned_by": service.name}
@@ -230,22 +242,22 @@
         response.headers[responses.REQUEST_ID_HEADER] = caller.request_id
         return response
 
-    def _own(self, request: Request) -> Response:
+    def _serve_system_path(self, request: Request) -> Response:
         if request.method != "GET":
             return Response("use GET\n", 405)
         if request.path == ADDRESS_PATH:
-            return self._address(request)
+            return self._serve_address(request)
         if request.path == HEALTH_PATH:
-            return self._health()
+            return self._serve_health()
         return Response("unknown path\n", 404)
 
-    def _address(self, request: Request) -> Response:
+    def _serve_address(self, request: Request) -> Response:
         answer = address_answer(
             self._context.view,
             request.args.get("organisation", ""),
             request.args.get("failure-domain", ""),
             self._context.settings.membership,
-            next(self._turns),
+            next(self._address_counter),
         )
         fields = {"addresses": list(answer.addresses), "keep_s": answer.keep_s}
         status = 200 if answer.addresses else 503
@@ -255,7 +267,7 @@
             response.headers["Retry-After"] = "1"
         return response
 
-    def _health(self) -> Response:
+    def _serve_health(self) -> Response:
         fresh = self._context.freshness.is_fresh(time.monotonic())
         fields = {
             "fresh": fresh,
@@ -271,11 +283,11 @@
     if caller.method != "POST":
         message = f"{caller.method} is not served here; use POST"
         raise Refusal(405, "method_not_allowed", message)
-    rest = caller.path.removeprefix(route.prefix.rstrip("/"))
-    if rest not in (intake.CHAT, intake.COMPLETIONS):
+    subpath = caller.path.removeprefix(route.prefix.rstrip("/"))
+    if subpath not in (intake.CHAT_PATH, intake.COMPLETIONS_PATH):
         message = f"{caller.path} is no path of a language service"
         raise Refusal(404, "unknown_path", message)
-    return rest == intake.CHAT
+    return subpath == intake.CHAT_PATH
 
 
 def _refusal_response(refusal: Refusal, request_id: str) -> Response:
--- a/berylnotch/server/attempts.py
+++ b/berylnotch/server/attempts.py
@@ -1,4 +1,4 @@
-"""Choice of a target for an attempt, and the request that goes there."""
+"""Selection of a target for an attempt, and the request that is sent to it."""
 
 from __future__ import annotations
 
@@ -31,23 +31,23 @@
 
 #: Expected work of a request at a plain service, in seconds.
 _PLAIN_WORK_S = 0.01
-#: Characters that stand in a path as they are.
-_PATH_SAFE = "/:@!$&'()*+,;=~-._"
-#: Paths of an engine, by whether the request is a chat.
-_PATHS = {True: "/v1/chat/completions", False: "/v1/completions"}
+#: Characters that are not percent-encoded in a path.
+_PATH_SAFE_CHARACTERS = "/:@!$&'()*+,;=~-._"
+#: Paths of an engine; the key tells whether the request is a chat completion.
+_ENGINE_PATHS = {True: "/v1/chat/completions", False: "/v1/completions"}
 
 
 @frozen
-class Choice:
-    """A chosen target, why, and the work that it is expected to take."""
+class TargetChoice:
+    """A chosen target, its ranking, and the expected work in seconds."""
 
     target: Target
     ranked: Ranked
     work_s: float
 
 
-class Attempts:
-    """Chooses targets and builds what they are sent.
+class TargetSelector:
+    """Chooses targets and builds the requests to them.
 
     Parameters
     ----------
@@ -59,62 +59,67 @@
         self._context = context
 
     def free_slots(self, now: float, service: str) -> int:
-        """Return how many more requests the targets of a service take at once."""
+        """Return the number of free request slots at a service's targets."""
         candidates = self._candidates(now, service)
         return sum(max(c.capacity - c.in_flight, 0) for c in candidates if c.is_usable)
 
     def can_serve(self, now: float, service: str) -> bool:
-        """Return whether a service and all it requires have a usable target."""
+        """Return whether a service and all that it requires have a usable target."""
         fleet = self._context.view.fleet
-        found = fleet.services.get(service)
-        if found is None:
+        definition = fleet.services.get(service)
+        if definition is None:
             return False
         if not any(c.is_usable for c in self._candidates(now, service)):
             return False
-        return all(self.can_serve(now, name) for name in found.requires)
+        return all(self.can_serve(now, name) for name in definition.requires)
 
     def missing_dependency(self, now: float, service: str) -> str:
         """Return a required service that cannot serve, or an empty string."""
-        found = self._context.view.fleet.services[service]
-        broken = (name for name in found.requires if not self.can_serve(now, name))
-        return next(broken, "")
+        definition = self._context.view.fleet.services[service]
+        unavailable = (
+            name for name in definition.requires if not self.can_serve(now, name)
+        )
+        return next(unavailable, "")
 
-    def choose(self, job: Job, action: StartAttempt) -> Choice | None:
+    def choose(self, job: Job, action: StartAttempt) -> TargetChoice | None:
         """Choose a target, or return None if none can take the attempt."""
         now = time.monotonic()
-        apart = self._context.guard.avoid(now, job.fingerprint)
-        ranked = self._rank(now, job, action, action.exclude | apart)
-        if not ranked and apart:
-            # Suspects run apart if they can, but none is given up for it.
+        avoided = self._context.guard.avoid(now, job.fingerprint)
+        ranked = self._rank(now, job, action, action.exclude | avoided)
+        if not ranked and avoided:
+            # A request suspected of crashing targets avoids targets that run other
+            # suspects, but is not refused if no other target can take it.
             ranked = self._rank(now, job, action, action.exclude)
         if not ranked:
-            # An ejected target may be back; one that just failed this request
-            # is not.
+            # Ejected targets may have recovered, unlike targets that have just
+            # failed this request.
             ranked = self._rank(now, job, action, action.exclude, True)
         if not ranked and action.exclude:
-            # A target that failed before is better than none.
+            # Retrying a target that failed this request is better than no attempt.
             ranked = self._rank(now, job, action, frozenset())
-        self._record(job, ranked)
+        self._record_decision(job, ranked)
         if not ranked:
             return None
         best = ranked[0]
         target = self._context.view.fleet.targets[best.name]
-        return Choice(target, best, self._work_s(job, best))
+        return TargetChoice(target, best, self._expected_work_s(job, best))
 
-    def sent(self, job: Job, choice: Choice) -> None:
-        """Note that the request goes to the chosen target."""
+    def record_sent(self, job: Job, choice: TargetChoice) -> None:
+        """Record that the request is sent to the chosen target."""
         if job.prompt is not None:
-            request = self._request(job, "", frozenset())
+            request = self._make_placement_request(job, "", frozenset())
             self._context.placer.sent(time.monotonic(), request, choice.ranked)
             self._count_pieces(job, choice)
 
-    def _count_pieces(self, job: Job, choice: Choice) -> None:
+    def _count_pieces(self, job: Job, choice: TargetChoice) -> None:
         metrics, label = self._context.metrics, Label("service", job.service.name)
-        cached = choice.ranked.cached_pieces
+        cached_pieces = choice.ranked.cached_pieces
         metrics.count("berylnotch_prompt_pieces_total", label, amount=job.prompt.pieces)
-        metrics.count("berylnotch_expected_hit_pieces_total", label, amount=cached)
+        metrics.count(
+            "berylnotch_expected_hit_pieces_total", label, amount=cached_pieces
+        )
 
-    def build(
+    def build_request(
         self, job: Job, target: Target, action: StartAttempt, timeout_s: float
     ) -> UpstreamRequest:
         """Build the request to a target.
@@ -128,12 +133,12 @@
             target.address, self._context.settings.target_credential
         )
         if job.language is not None:
-            generation = self._generation(job)
+            generation = self._make_generation_request(job)
             resume = action.resume_after
             return build_generation(address, generation, timeout_s, resume)
         plain = PlainRequest(
             method=job.request.method,
-            path=quote(job.request.path, safe=_PATH_SAFE),
+            path=quote(job.request.path, safe=_PATH_SAFE_CHARACTERS),
             query=job.request.query,
             headers=job.request.headers,
             body=job.request.body,
@@ -143,15 +148,16 @@
         return build_plain(address, plain, timeout_s)
 
     def _candidates(self, now: float, service: str) -> tuple[Candidate, ...]:
-        found = self._context.health.candidates(now, self._context.view, service)
-        return self._with_weights(service, found)
+        candidates = self._context.health.candidates(now, self._context.view, service)
+        return self._assume_weights(service, candidates)
 
-    def _with_weights(
+    def _assume_weights(
         self, service: str, candidates: tuple[Candidate, ...]
     ) -> tuple[Candidate, ...]:
-        """Assume the service's weights where nobody reported any yet.
+        """Assume the service's weights for targets without a weights report.
 
-        An engine says its version in each answer, which the exchange checks.
+        A wrong assumption is detected: an engine states its weights version in
+        each answer, and the exchange checks it.
         """
         view = self._context.view
         weights = view.fleet.services[service].weights
@@ -166,24 +172,24 @@
         job: Job,
         action: StartAttempt,
         exclude: frozenset[str],
-        with_ejected: bool = False,
+        include_ejected: bool = False,
     ) -> tuple[Ranked, ...]:
         if job.prompt is None:
             candidates = self._candidates(now, job.service.name)
-            if with_ejected:
-                candidates = _not_ejected(candidates)
+            if include_ejected:
+                candidates = _without_ejection(candidates)
             domain = self._context.settings.failure_domain
             query = Query(failure_domain=domain, exclude=exclude)
             ranked = rank(self._context.settings.placement, query, candidates)
         else:
-            request = self._request(job, action.weights, exclude)
+            request = self._make_placement_request(job, action.weights, exclude)
             candidates = self._shortlist(now, job, request)
-            if with_ejected:
-                candidates = _not_ejected(candidates)
+            if include_ejected:
+                candidates = _without_ejection(candidates)
             ranked = self._context.placer.rank(now, request, candidates)
-        return _with_free_slot_first(ranked, candidates)
+        return _prefer_free_slots(ranked, candidates)
 
-    def _request(
+    def _make_placement_request(
         self, job: Job, weights: str, exclude: frozenset[str]
     ) -> PlacementRequest:
         return PlacementRequest(
@@ -201,13 +207,13 @@
         names = health.names(view, name)
         service = view.fleet.services.get(name, job.service)
         shortlist = self._context.placer.shortlist(now, request, service, names)
-        found = health.candidates(now, view, name, shortlist)
-        return self._with_weights(name, found)
+        candidates = health.candidates(now, view, name, shortlist)
+        return self._assume_weights(name, candidates)
 
-    def _generation(self, job: Job) -> GenerationRequest:
+    def _make_generation_request(self, job: Job) -> GenerationRequest:
         name = job.organisation_name
         return GenerationRequest(
-            path=_PATHS[job.request.path.endswith("/chat/completions")],
+            path=_ENGINE_PATHS[job.request.path.endswith("/chat/completions")],
             body=job.request.body,
             request_id=job.request.request_id,
             cache_scope=name,
@@ -216,15 +222,15 @@
             caller_key=job.key,
         )
 
-    def _work_s(self, job: Job, best: Ranked) -> float:
+    def _expected_work_s(self, job: Job, best: Ranked) -> float:
         if job.service.kind is not ServiceKind.LANGUAGE or job.language is None:
             return _PLAIN_WORK_S
         settings = self._context.settings.placement
-        cached = best.cached_pieces * settings.piece_tokens
-        tokens = max(job.language.prompt_tokens - cached, 0)
-        return tokens / settings.prefill_tokens_per_s
+        cached_tokens = best.cached_pieces * settings.piece_tokens
+        uncached_tokens = max(job.language.prompt_tokens - cached_tokens, 0)
+        return uncached_tokens / settings.prefill_tokens_per_s
 
-    def _record(self, job: Job, ranked: tuple[Ranked, ...]) -> None:
+    def _record_decision(self, job: Job, ranked: tuple[Ranked, ...]) -> None:
         lines = tuple(
             WhyLine(item.name, position == 0, item.score_ms, item.reason)
             for position, item in enumerate(ranked[:16])
@@ -235,14 +241,16 @@
         )
 
 
-def _not_ejected(candidates: tuple[Candidate, ...]) -> tuple[Candidate, ...]:
+def _without_ejection(candidates: tuple[Candidate, ...]) -> tuple[Candidate, ...]:
     return tuple(evolve(candidate, ejected=False) for candidate in candidates)
 
 
-def _with_free_slot_first(
+def _prefer_free_slots(
     ranked: tuple[Ranked, ...], candidates: tuple[Candidate, ...]
 ) -> tuple[Ranked, ...]:
-    full = {c.name for c in candidates if c.capacity and c.in_flight >= c.capacity}
-    if not full:
+    full_targets = {
+        c.name for c in candidates if c.capacity and c.in_flight >= c.capacity
+    }
+    if not full_targets:
         return ranked
-    return tuple(sorted(ranked, key=lambda item: item.name in full))
+    return tuple(sorted(ranked, key=lambda item: item.name in full_targets))
--- a/berylnotch/server/caller.py
+++ b/berylnotch/server/caller.py
@@ -1,4 +1,7 @@
-"""Caller's connection after it was taken over: bounded, non-blocking writes."""
+"""Caller's connection after its detachment from the HTTP server.
+
+Writes are non-blocking; two water marks provide backpressure.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,17 @@
 
 from berylnotch.util.loop import Loop
 
-#: Waiting bytes above which the upstream should pause.
+#: Buffered bytes above which the upstream should be paused.
 HIGH_WATER_BYTES = 128 * 1024
-#: Waiting bytes below which the upstream may go on.
+#: Buffered bytes below which the upstream may be resumed.
 LOW_WATER_BYTES = 32 * 1024
 
-_DISCARD_BYTES = 64 * 1024
-#: Seconds for the caller to take the last bytes of an answer.
-_LINGER_S = 30.0
+_DISCARD_READ_BYTES = 64 * 1024
+#: Seconds in which the caller has to read the last bytes of an answer.
+_FLUSH_TIMEOUT_S = 30.0
 
 
-class Caller:
+class CallerConnection:
     """Socket of one caller; every method runs in the loop's thread.
 
     Parameters
@@ -29,7 +32,7 @@
         Non-blocking socket.
     on_drained : callable
         Called when a full buffer has fallen below the low-water mark.
-    on_gone : callable
+    on_disconnected : callable
         Called once if the caller closes or the connection fails.
     """
 
@@ -38,20 +41,20 @@
         loop: Loop,
         sock: socket.socket,
         on_drained: Callable[[], None],
-        on_gone: Callable[[], None],
+        on_disconnected: Callable[[], None],
     ) -> None:
         self._loop = loop
         self._sock = sock
         self._on_drained = on_drained
-        self._on_gone = on_gone
-        self._output = bytearray()
+        self._on_disconnected = on_disconnected
+        self._buffer = bytearray()
         self._full = False
         self._finishing = False
         self._closed = False
 
     @property
     def is_full(self) -> bool:
-        """Whether the caller reads too slowly for more bytes."""
+        """Whether the buffer exceeded the high-water mark and has not drained yet."""
         return self._full
 
     @property
@@ -60,31 +63,31 @@
         return self._closed
 
     @property
-    def waiting_bytes(self) -> int:
-        """Bytes accepted by `write` that the socket has not taken."""
-        return len(self._output)
+    def buffered_bytes(self) -> int:
+        """Number of bytes passed to `write` that are not sent yet."""
+        return len(self._buffer)
 
     def start(self) -> None:
-        """Notice from now on if the caller goes away."""
+        """Start watching the socket for a disconnect of the caller."""
         self._loop.watch(self._sock, selectors.EVENT_READ, self._on_ready)
 
     def write(self, data: bytes) -> None:
-        """Send bytes, or keep them until the socket takes them."""
+        """Send bytes, and buffer those that the socket does not accept yet."""
         if self._closed or not data:
             return
-        if not self._output:
-            # Nearly always the socket takes all, and nothing has to be watched.
+        if not self._buffer:
+            # The socket nearly always accepts all bytes, and no event is needed.
             data = self._send(data)
         if data:
-            self._output += data
-            self._update()
+            self._buffer += data
+            self._update_watch()
 
     def finish(self) -> None:
         """Close once all bytes are sent."""
         if self._closed:
             return
         self._finishing = True
-        self._loop.call_later(_LINGER_S, self.close)
+        self._loop.call_later(_FLUSH_TIMEOUT_S, self.close)
         self._flush()
 
     def close(self) -> None:
@@ -92,67 +95,67 @@
         if self._closed:
             return
         self._closed = True
-        self._output.clear()
+        self._buffer.clear()
         self._loop.watch(self._sock, 0, self._on_ready)
         self._sock.close()
 
     def _send(self, data: bytes) -> bytes:
-        """Send what the socket takes now and return the rest."""
+        """Send the bytes that the socket accepts now and return the rest."""
         try:
             sent = self._sock.send(data)
         except (BlockingIOError, InterruptedError):
             return data
         except OSError:
-            self._fail()
+            self._on_connection_lost()
             return b""
         return data[sent:]
 
     def _flush(self) -> None:
         try:
-            while self._output:
-                sent = self._sock.send(self._output)
-                del self._output[:sent]
+            while self._buffer:
+                sent = self._sock.send(self._buffer)
+                del self._buffer[:sent]
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
-            self._fail()
+            self._on_connection_lost()
             return
-        if self._finishing and not self._output:
+        if self._finishing and not self._buffer:
             self.close()
             return
-        self._update()
+        self._update_watch()
 
-    def _update(self) -> None:
+    def _update_watch(self) -> None:
         events = selectors.EVENT_READ
-        if self._output:
+        if self._buffer:
             events |= selectors.EVENT_WRITE
         self._loop.watch(self._sock, events, self._on_ready)
-        if len(self._output) > HIGH_WATER_BYTES:
+        if len(self._buffer) > HIGH_WATER_BYTES:
             self._full = True
-        elif self._full and len(self._output) < LOW_WATER_BYTES:
+        elif self._full and len(self._buffer) < LOW_WATER_BYTES:
             self._full = False
             self._on_drained()
 
     def _on_ready(self, events: int) -> None:
         if events & selectors.EVENT_READ:
-            self._check_gone()
+            self._check_disconnected()
         if events & selectors.EVENT_WRITE and not self._closed:
             self._flush()
 
-    def _check_gone(self) -> None:
-        # Bytes behind the request are dropped: the answer closes the connection.
+    def _check_disconnected(self) -> None:
+        # Bytes after the request are discarded: the answer closes the connection.
         try:
-            if self._sock.recv(_DISCARD_BYTES):
+            if self._sock.recv(_DISCARD_READ_BYTES):
                 return
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             pass
-        self._fail()
+        self._on_connection_lost()
 
-    def _fail(self) -> None:
+    def _on_connection_lost(self) -> None:
         if self._closed:
             return
         self.close()
         if not self._finishing:
-            self._on_gone()
+            self._on_disconnected()
--- a/berylnotch/server/claims.py
+++ b/berylnotch/server/claims.py
@@ -1,4 +1,7 @@
-"""Claims of non-idempotent requests: agreed before a run, closed after it."""
+"""Claims that keep non-idempotent requests from running twice.
+
+A claim is committed before the request runs and closed with the outcome.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 )
 from berylnotch.ledger.ledger import router_id
 from berylnotch.server import responses
-from berylnotch.server.delivery import replay_head
+from berylnotch.server.delivery import build_replay_head
 from berylnotch.server.errors import Refusal
 from berylnotch.streams.actions import (
     Finish,
@@ -33,17 +36,17 @@
     from berylnotch.server.context import Context
     from berylnotch.server.job import Job
 
-#: Longest time, in seconds, from asking for a claim to sending its request;
-#: shorter than the silence after which a router is taken for lost.
-OPEN_LIMIT_S = 4.0
-#: Seconds for which an outcome is proposed again and again.
-_CLOSE_LIMIT_S = 60.0
-#: Seconds after which the caller gets its answer although the outcome is not agreed.
-_ANSWER_LIMIT_S = 3.0
+#: Longest time, in seconds, from proposing a claim to sending its request;
+#: shorter than the silence after which a router is considered lost.
+OPEN_TIMEOUT_S = 4.0
+#: Seconds for which the proposal of an outcome is retried.
+_CLOSE_TIMEOUT_S = 60.0
+#: Seconds after which the answer is sent although the outcome is not committed.
+_ANSWER_HOLD_LIMIT_S = 3.0
 _IN_PROGRESS_RETRY_S = 1.0
 
 
-class Claims:
+class ClaimClient:
     """Opens and closes claims through the leader; runs in the loop's thread.
 
     Parameters
@@ -58,14 +61,14 @@
     def open(
         self,
         job: Job,
-        run: Callable[[], None],
-        refuse: Callable[[Refusal], None],
-        replay: Callable[[], None],
+        on_claimed: Callable[[], None],
+        on_refused: Callable[[Refusal], None],
+        on_replayed: Callable[[], None],
     ) -> None:
-        """Claim the job's run and call ``run`` if it was agreed.
+        """Propose a claim for the job and call ``on_claimed`` if it is committed.
 
-        Otherwise ``refuse`` is called, or ``replay`` after a stored answer was
-        written.
+        Otherwise ``on_refused`` is called, or ``on_replayed`` after a stored answer
+        was written.
         """
         attempt = secrets.token_hex(8)
         command = OpenClaim(
@@ -75,50 +78,53 @@
             router=router_id(self._context.settings.name, self._context.incarnation),
             attempt=attempt,
         )
-        asked_at = time.monotonic()
-        limit_s = min(OPEN_LIMIT_S, job.deadline - asked_at)
+        requested_at = time.monotonic()
+        timeout_s = min(OPEN_TIMEOUT_S, job.deadline - requested_at)
 
-        def answered(result: Result | None) -> None:
-            # A router that was stopped meanwhile may be taken for lost, and its
-            # claim may be settled as not run: it must not run any more.
-            is_late = time.monotonic() - asked_at > OPEN_LIMIT_S
+        def on_result(result: Result | None) -> None:
+            # While its process is suspended, a router may be considered lost and
+            # its claim settled as not run; then the request must not run any more.
+            is_late = time.monotonic() - requested_at > OPEN_TIMEOUT_S
             if result is None or (is_late and result.status is Status.OK):
-                # The claim may be agreed all the same, and must not stay open.
+                # The claim may be committed nevertheless, and must not stay open.
                 self._propose_close(job, attempt, ClaimState.NOT_RUN)
-                refuse(_unreachable())
+                on_refused(_unavailable_refusal())
             elif result.status is Status.OK:
                 job.claim_attempt = attempt
-                run()
+                on_claimed()
             elif result.claim is not None and result.claim.state is ClaimState.DONE:
-                _replay(job, result.claim)
-                replay()
+                _send_replay(job, result.claim)
+                on_replayed()
             else:
-                refuse(_refusal(result))
+                on_refused(_claim_refusal(result))
+
+        self._context.proposer.propose(command, timeout_s, on_result)
 
-        self._context.proposer.propose(command, limit_s, answered)
+    def close(self, job: Job, finish: Finish, on_closed: Callable[[], None]) -> None:
+        """Record the outcome, then call ``on_closed`` once.
 
-    def close(self, job: Job, finish: Finish, then: Callable[[], None]) -> None:
-        """Record the outcome, then call ``then`` once."""
+        The call comes after `_ANSWER_HOLD_LIMIT_S` at the latest.
+        """
         called = False
 
-        def release() -> None:
+        def notify_once() -> None:
             nonlocal called
             if not called:
                 called = True
-                then()
+                on_closed()
 
-        state = _state(finish)
+        state = _claim_state(finish)
         logger.info(
             "event=claim_closed request={} organisation={} state={}",
             job.request.request_id,
             job.organisation_name,
             state.value,
         )
-        self._propose_close(job, job.claim_attempt, state, release)
-        self._context.loop.call_later(_ANSWER_LIMIT_S, release)
+        self._propose_close(job, job.claim_attempt, state, notify_once)
+        self._context.loop.call_later(_ANSWER_HOLD_LIMIT_S, notify_once)
 
-    def give_up(self, job: Job, state: ClaimState) -> None:
-        """Close a claim whose run did not go its usual way."""
+    def close_unfinished(self, job: Job, state: ClaimState) -> None:
+        """Close a claim whose request did not run or ended with an internal error."""
         attempt, job.claim_attempt = job.claim_attempt, ""
         self._propose_close(job, attempt, state)
 
@@ -127,11 +133,11 @@
         job: Job,
         attempt: str,
         state: ClaimState,
-        then: Callable[[], None] | None = None,
+        on_closed: Callable[[], None] | None = None,
     ) -> None:
-        head = next((a for a in job.held if isinstance(a, SendHead)), None)
+        head = next((a for a in job.held_actions if isinstance(a, SendHead)), None)
         is_done = state is ClaimState.DONE and head is not None
-        body = b"".join(a.data for a in job.held if isinstance(a, SendBytes))
+        body = b"".join(a.data for a in job.held_actions if isinstance(a, SendBytes))
         command = CloseClaim(
             organisation=job.organisation_name,
             idempotency_key=job.request.idempotency_key,
@@ -142,11 +148,13 @@
             body=body if is_done else b"",
         )
         self._context.proposer.propose(
-            command, _CLOSE_LIMIT_S, lambda _result: then() if then else None
+            command,
+            _CLOSE_TIMEOUT_S,
+            lambda _result: on_closed() if on_closed else None,
         )
 
 
-def _state(finish: Finish) -> ClaimState:
+def _claim_state(finish: Finish) -> ClaimState:
     if finish.mark is RunMark.NOT_RUN:
         return ClaimState.NOT_RUN
     if finish.reason is FinishReason.COMPLETE and finish.mark is RunMark.RAN:
@@ -155,17 +163,21 @@
 
 
 def _content_type(head: SendHead) -> str:
-    fields = (header.value for header in head.headers if header.name == "content-type")
-    return next(fields, "")
+    content_types = (
+        header.value for header in head.headers if header.name == "content-type"
+    )
+    return next(content_types, "")
 
 
-def _replay(job: Job, claim: ClaimRecord) -> None:
-    head = replay_head(job, claim.http_status, claim.content_type, len(claim.body))
+def _send_replay(job: Job, claim: ClaimRecord) -> None:
+    head = build_replay_head(
+        job, claim.http_status, claim.content_type, len(claim.body)
+    )
     job.caller.write(head + claim.body)
     job.caller.finish()
 
 
-def _unreachable() -> Refusal:
+def _unavailable_refusal() -> Refusal:
     return Refusal(
         503,
         "claims_unavailable",
@@ -175,7 +187,7 @@
     )
 
 
-def _refusal(result: Result) -> Refusal:
+def _claim_refusal(result: Result) -> Refusal:
     claim = result.claim
     if result.status is not Status.EXISTS or claim is None:
         return Refusal(422, "idempotency_key_reused", result.message)
--- a/berylnotch/server/context.py
+++ b/berylnotch/server/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a router's request path share."""
+"""State that the parts of a router's request path share."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
     from berylnotch.util.loop import Loop
     from berylnotch.util.metrics import Metrics
 
-#: Requests whose choice of target is remembered.
+#: Number of requests whose choice of target is kept.
 _MAX_DECISIONS = 4096
 
 
 class Decisions:
-    """Newest choices of targets, for ``berylnotch why``."""
+    """Most recent choices of targets, for ``berylnotch why``."""
 
     def __init__(self) -> None:
         self._decisions: OrderedDict[str, WhyReply] = OrderedDict()
 
     def record(self, decision: WhyReply) -> None:
-        """Remember a choice, the newest one of a request."""
+        """Store a choice; it replaces an earlier one of the same request."""
         self._decisions[decision.request_id] = decision
         self._decisions.move_to_end(decision.request_id)
         if len(self._decisions) > _MAX_DECISIONS:
             self._decisions.popitem(last=False)
 
-    def finish(self, request_id: str, outcome: str) -> None:
-        """Note how a request ended."""
-        found = self.find(request_id)
-        self.record(evolve(found, outcome=outcome))
+    def record_outcome(self, request_id: str, outcome: str) -> None:
+        """Record how a request ended."""
+        decision = self.find(request_id)
+        self.record(evolve(decision, outcome=outcome))
 
     def find(self, request_id: str) -> WhyReply:
-        """Return the choice, or a reply without lines."""
+        """Return the last choice for a request, or a reply without lines."""
         return self._decisions.get(request_id, WhyReply(request_id, "", 0))
 
 
@@ -58,6 +58,7 @@
     """Shared state of a router; used in the loop's thread only.
 
     ``view`` and ``freshness`` are also read by the threads that check requests.
+    ``hurry`` reports new demand for tokens ahead of the regular heartbeat.
     """
 
     loop: Loop
@@ -76,6 +77,6 @@
     decisions: Decisions = field(factory=Decisions)
     jobs: set[Job] = field(factory=set)
 
-    def shared_losses(self, fingerprint: bytes) -> frozenset[str]:
-        """Return the targets that routers report lost with a request."""
+    def reported_losses(self, fingerprint: bytes) -> frozenset[str]:
+        """Return the targets that routers reported as lost while running a request."""
         return self.view.crash_targets(fingerprint, int(time.time() * 1000))
--- a/berylnotch/server/delivery.py
+++ b/berylnotch/server/delivery.py
@@ -1,4 +1,4 @@
-"""Writing an answer to the caller, charged to the organisation first."""
+"""Delivery of answers to callers, after their tokens are charged."""
 
 from __future__ import annotations
 
@@ -10,48 +10,48 @@
 
 from berylnotch.gateways.engine import completion_tokens
 from berylnotch.server import responses
-from berylnotch.server.job import Unpaid
+from berylnotch.server.job import UnchargedBytes
 from berylnotch.streams.actions import RunMark, SendBytes, SendHead
 from berylnotch.util.metrics import Label
 
 if TYPE_CHECKING:
     from berylnotch.server.context import Context
     from berylnotch.server.job import Job
-    from berylnotch.server.needs import TokenNeeds
+    from berylnotch.server.needs import TokenDemand
 
 _GAP_METRIC = "berylnotch_event_gap_seconds"
-#: Seconds for which a finished answer waits for tokens.
-_UNPAID_LIMIT_S = 60.0
+#: Seconds for which the rest of a finished answer waits for tokens.
+_CHARGE_TIMEOUT_S = 60.0
 
 
 class Delivery:
-    """Charges generated tokens as they are delivered.
+    """Charges generated tokens to the organisation, then writes their bytes.
 
-    Bytes whose tokens the organisation does not have yet wait in the job, and
-    the stream is paused; nothing is delivered on credit.
+    Bytes that the organisation has no tokens for are held in the job, and the
+    stream is paused; no bytes are sent before their tokens are charged.
 
     Parameters
     ----------
     context : Context
         Shared state.
-    needs : TokenNeeds
-        Told what is missing.
+    demand : TokenDemand
+        Receives the number of tokens that held bytes need.
     pause, resume : callable
-        Pause and resume a job's exchange for want of tokens.
+        Pause and resume a job's exchange for lack of tokens.
     """
 
     def __init__(
         self,
         context: Context,
-        needs: TokenNeeds,
+        demand: TokenDemand,
         pause: Callable[[Job], None],
         resume: Callable[[Job], None],
     ) -> None:
         self._context = context
-        self._needs = needs
+        self._demand = demand
         self._pause = pause
         self._resume = resume
-        self._owing: dict[str, Job] = {}
+        self._waiting_jobs: dict[str, Job] = {}
         self._gap_timers: dict[str, Callable[[float], None]] = {}
 
     def send_head(self, job: Job, action: SendHead) -> None:
@@ -65,97 +65,99 @@
             headers["Cache-Control"] = "no-cache"
         else:
             headers["Content-Length"] = str(action.content_length)
-        self._note_first_byte(job)
-        job.caller.write(responses.head(action.status, headers))
+        self._observe_first_byte(job)
+        job.caller.write(responses.response_head(action.status, headers))
 
     def send(self, job: Job, action: SendBytes) -> None:
         """Write bytes once their tokens are charged."""
-        unpaid = Unpaid(action, _tokens(job, action))
-        if job.unpaid or not self._charge(job, unpaid):
-            self._owe(job, unpaid)
+        uncharged = UnchargedBytes(action, _count_tokens(job, action))
+        if job.uncharged or not self._charge(job, uncharged):
+            self._hold_uncharged(job, uncharged)
             return
         self._write(job, action)
 
-    def finish(self, job: Job, then: Callable[[], None]) -> None:
-        """Run ``then`` after all bytes were written."""
-        if not job.unpaid:
-            self._end(job, then)
+    def finish(self, job: Job, on_done: Callable[[], None]) -> None:
+        """End the answer and call ``on_done`` after all bytes are written."""
+        if not job.uncharged:
+            self._end_answer(job, on_done)
             return
-        job.finish = lambda: self._end(job, then)
-        self._context.loop.call_later(_UNPAID_LIMIT_S, lambda: self._give_up(job))
+        job.pending_finish = lambda: self._end_answer(job, on_done)
+        self._context.loop.call_later(
+            _CHARGE_TIMEOUT_S, lambda: self._abort_uncharged(job)
+        )
 
-    def drop_unpaid(self, job: Job) -> None:
-        """Forget bytes that will not be delivered."""
-        job.unpaid.clear()
-        self._settle(job)
+    def drop_uncharged(self, job: Job) -> None:
+        """Discard held bytes that will not be delivered."""
+        job.uncharged.clear()
+        self._remove_demand(job)
 
     def retry(self) -> None:
-        """Try the jobs that wait for tokens again, after a grant."""
-        for job in tuple(self._owing.values()):
-            self._pay(job)
+        """Retry the jobs that wait for tokens, after a grant."""
+        for job in tuple(self._waiting_jobs.values()):
+            self._send_uncharged(job)
 
-    def _charge(self, job: Job, unpaid: Unpaid) -> bool:
-        """Charge as much as the organisation has; return whether that is all."""
-        if job.organisation is None or not unpaid.tokens:
+    def _charge(self, job: Job, uncharged: UnchargedBytes) -> bool:
+        """Charge the tokens that are available; return whether all are charged."""
+        if job.organisation is None or not uncharged.tokens:
             return True
         now = time.monotonic()
         quota, name = self._context.quota, job.organisation.name
-        tokens = min(unpaid.tokens, quota.balance(now, name))
+        tokens = min(uncharged.tokens, quota.balance(now, name))
         if tokens and quota.charge(now, name, tokens):
-            unpaid.tokens -= tokens
+            uncharged.tokens -= tokens
             job.charged_tokens += tokens
-        return not unpaid.tokens
+        return not uncharged.tokens
 
-    def _owe(self, job: Job, unpaid: Unpaid) -> None:
-        job.unpaid.append(unpaid)
-        self._owing[job.request.request_id] = job
-        self._need(job)
+    def _hold_uncharged(self, job: Job, uncharged: UnchargedBytes) -> None:
+        job.uncharged.append(uncharged)
+        self._waiting_jobs[job.request.request_id] = job
+        self._update_demand(job)
         self._pause(job)
 
-    def _need(self, job: Job) -> None:
-        tokens = sum(unpaid.tokens for unpaid in job.unpaid)
-        # Any part of them helps, so that one token is enough to go on.
-        self._needs.add(job.organisation_name, job.request.request_id, tokens, 1)
+    def _update_demand(self, job: Job) -> None:
+        tokens = sum(uncharged.tokens for uncharged in job.uncharged)
+        # A single token suffices to proceed, since bytes can be charged in parts.
+        self._demand.update(job.organisation_name, job.request.request_id, tokens, 1)
 
-    def _pay(self, job: Job) -> None:
-        while job.unpaid:
-            if not self._charge(job, job.unpaid[0]):
-                self._need(job)
+    def _send_uncharged(self, job: Job) -> None:
+        while job.uncharged:
+            if not self._charge(job, job.uncharged[0]):
+                self._update_demand(job)
                 return
-            self._write(job, job.unpaid.pop(0).action)
-        self._settle(job)
-        if job.finish is not None:
-            job.finish()
+            self._write(job, job.uncharged.pop(0).action)
+        self._remove_demand(job)
+        if job.pending_finish is not None:
+            job.pending_finish()
         else:
             self._resume(job)
 
-    def _settle(self, job: Job) -> None:
-        if self._owing.pop(job.request.request_id, None) is not None:
-            self._needs.remove(job.organisation_name, job.request.request_id)
+    def _remove_demand(self, job: Job) -> None:
+        if self._waiting_jobs.pop(job.request.request_id, None) is not None:
+            self._demand.remove(job.organisation_name, job.request.request_id)
 
     def _write(self, job: Job, action: SendBytes) -> None:
         if action.events:
-            self._note_events(job)
-        data = responses.chunk(action.data) if job.chunked else action.data
+            self._observe_event_gap(job)
+        data = responses.encode_chunk(action.data) if job.chunked else action.data
         job.caller.write(data)
 
-    def _end(self, job: Job, then: Callable[[], None]) -> None:
-        job.finish = None
+    def _end_answer(self, job: Job, on_done: Callable[[], None]) -> None:
+        job.pending_finish = None
         if job.chunked:
             job.caller.write(responses.LAST_CHUNK)
         job.caller.finish()
-        then()
+        on_done()
 
-    def _give_up(self, job: Job) -> None:
-        finish = job.finish
+    def _abort_uncharged(self, job: Job) -> None:
+        finish = job.pending_finish
         if finish is None:
             return
-        job.finish = None
-        self.drop_unpaid(job)
-        # Without the last chunk the caller sees that the answer is not whole.
+        job.pending_finish = None
+        self.drop_uncharged(job)
+        # Without the last chunk the caller detects that the answer is truncated.
         job.caller.close()
 
-    def _note_first_byte(self, job: Job) -> None:
+    def _observe_first_byte(self, job: Job) -> None:
         job.first_byte_at = time.monotonic()
         self._context.metrics.observe(
             "berylnotch_first_byte_seconds",
@@ -163,7 +165,7 @@
             Label("service", job.service.name),
         )
 
-    def _note_events(self, job: Job) -> None:
+    def _observe_event_gap(self, job: Job) -> None:
         now = time.monotonic()
         if job.last_event_at:
             self._gap_timer(job.service.name)(now - job.last_event_at)
@@ -178,18 +180,18 @@
         return timer
 
 
-def _tokens(job: Job, action: SendBytes) -> int:
+def _count_tokens(job: Job, action: SendBytes) -> int:
     if action.events or job.language is None or job.chunked:
         return action.events
     return completion_tokens(action.data)
 
 
-def replay_head(job: Job, status: int, content_type: str, length: int) -> bytes:
-    """Return the head of a stored answer."""
+def build_replay_head(job: Job, status: int, content_type: str, length: int) -> bytes:
+    """Return the response head for the replay of a stored answer."""
     headers = Headers()
     headers["Content-Type"] = content_type or "application/octet-stream"
     headers["Content-Length"] = str(length)
     headers["Idempotent-Replayed"] = "true"
     headers[responses.REQUEST_ID_HEADER] = job.request.request_id
     headers[responses.RUN_HEADER] = RunMark.RAN.value
-    return responses.head(status, headers)
+    return responses.response_head(status, headers)
--- a/berylnotch/server/engine.py
+++ b/berylnotch/server/engine.py
@@ -12,13 +12,13 @@
 from berylnotch.control.commands import ClaimState
 from berylnotch.gateways.engine import is_whole_answer
 from berylnotch.server import responses
-from berylnotch.server.attempts import Attempts
-from berylnotch.server.caller import Caller
-from berylnotch.server.claims import Claims
+from berylnotch.server.attempts import TargetSelector
+from berylnotch.server.caller import CallerConnection
+from berylnotch.server.claims import ClaimClient
 from berylnotch.server.delivery import Delivery
 from berylnotch.server.errors import Refusal
-from berylnotch.server.needs import TokenNeeds
-from berylnotch.server.queueing import Queueing
+from berylnotch.server.needs import TokenDemand
+from berylnotch.server.queueing import AdmissionQueues
 from berylnotch.server.runner import Runner
 from berylnotch.streams.exchange import Exchange
 from berylnotch.streams.inputs import ExchangeRequest, PauseReason
@@ -36,7 +36,7 @@
     from berylnotch.server.context import Context
     from berylnotch.server.job import Job
 
-#: Seconds between two looks at freshness, deadlines and queues.
+#: Interval, in seconds, between checks of freshness, deadlines and queues.
 _TICK_S = 0.05
 
 
@@ -54,56 +54,60 @@
     def __init__(self, context: Context, stream_secret: bytes) -> None:
         self._context = context
         self._stream_secret = stream_secret
-        self._needs = TokenNeeds(context.quota, context.hurry)
-        self._attempts = Attempts(context)
-        self._claims = Claims(context)
+        self._demand = TokenDemand(context.quota, context.hurry)
+        self._selector = TargetSelector(context)
+        self._claim_client = ClaimClient(context)
         self._runner = Runner(
-            context, self._attempts, self._claims, self._over, self._check_freshness
+            context,
+            self._selector,
+            self._claim_client,
+            self._on_job_ended,
+            self._check_freshness,
         )
         self._delivery = Delivery(
             context,
-            self._needs,
+            self._demand,
             lambda job: self._runner.pause(job, PauseReason.QUOTA),
             lambda job: self._runner.resume(job, PauseReason.QUOTA),
         )
         self._runner.set_delivery(self._delivery)
-        self._queueing = Queueing(
-            context, self._attempts, self._needs, self._run, self._refuse
+        self._admission = AdmissionQueues(
+            context, self._selector, self._demand, self._start_or_claim, self._refuse
         )
         self._was_fresh = False
         self._closing: set[Job] = set()
 
     @property
     def running(self) -> int:
-        """Requests that have not ended, or whose last bytes are not sent."""
+        """Number of requests that have not ended or whose last bytes are not sent."""
         return len(self._context.jobs) + len(self._closing)
 
     def start(self) -> None:
-        """Begin to look at the clock."""
+        """Start the periodic checks of freshness, deadlines and queues."""
         self._context.loop.call_every(_TICK_S, self._tick)
 
     def submit(self, job: Job, sock: socket.socket) -> None:
-        """Take a job and its caller's socket; any thread may call this."""
-        self._context.loop.call_soon(lambda: self._take(job, sock))
+        """Accept a job and its caller's socket; any thread may call this."""
+        self._context.loop.call_soon(lambda: self._accept(job, sock))
 
     def on_grant(self) -> None:
-        """Go on with what waited for tokens."""
+        """Retry the streams and queued requests that wait for tokens."""
         self._delivery.retry()
-        self._queueing.pump_all()
+        self._admission.dispatch_all()
 
     def on_view_change(self) -> None:
-        """End what runs under withdrawn keys, and look at freshness."""
+        """End the requests whose keys were withdrawn, and check freshness."""
         for job in tuple(self._context.jobs):
             if job.key_hash and self._context.view.find_key(job.key_hash) is None:
-                self._withdraw(job)
+                self._on_key_withdrawn(job)
         self._check_freshness()
 
-    def _take(self, job: Job, sock: socket.socket) -> None:
-        job.caller = Caller(
+    def _accept(self, job: Job, sock: socket.socket) -> None:
+        job.caller = CallerConnection(
             self._context.loop,
             sock,
             lambda: self._runner.resume(job, PauseReason.CALLER),
-            lambda: self._caller_gone(job),
+            lambda: self._on_caller_disconnected(job),
         )
         job.caller.start()
         self._context.jobs.add(job)
@@ -115,27 +119,27 @@
             self._runner.abort(job)
 
     def _admit(self, job: Job) -> None:
-        refusal = self._check(job)
+        refusal = self._check_admission(job)
         if refusal is not None:
             self._refuse(job, refusal)
             return
-        self._queueing.enter(job)
+        self._admission.enqueue(job)
 
-    def _check(self, job: Job) -> Refusal | None:
+    def _check_admission(self, job: Job) -> Refusal | None:
         now = time.monotonic()
         if job.key_hash:
             refusal = self._check_key(job, now)
             if refusal is not None:
                 return refusal
-        guard, shared = self._context.guard, self._context.shared_losses
-        if guard.is_refused(now, job.fingerprint, shared):
+        guard, reported_losses = self._context.guard, self._context.reported_losses
+        if guard.is_refused(now, job.fingerprint, reported_losses):
             message = "targets were lost while they ran this request; it is not run"
             return Refusal(422, "request_crashes_targets", message)
-        missing = self._attempts.missing_dependency(now, job.service.name)
-        if missing:
-            message = f"{missing}, which {job.service.name} requires, cannot serve"
+        dependency = self._selector.missing_dependency(now, job.service.name)
+        if dependency:
+            message = f"{dependency}, which {job.service.name} requires, cannot serve"
             return Refusal(503, "dependency_unavailable", message, retry_after_s=1.0)
-        if not self._attempts.can_serve(now, job.service.name):
+        if not self._selector.can_serve(now, job.service.name):
             message = f"no target of {job.service.name} can serve"
             return Refusal(503, "no_target", message, retry_after_s=1.0)
         return None
@@ -148,35 +152,35 @@
             return Refusal(401, "invalid_key", "the key is not accepted")
         return None
 
-    def _run(self, job: Job) -> None:
-        # The key may have been withdrawn, or freshness lost, while it waited.
+    def _start_or_claim(self, job: Job) -> None:
+        # The key may have been withdrawn, or freshness lost, while queued.
         if job.key_hash:
             refusal = self._check_key(job, time.monotonic())
             if refusal is not None:
                 self._refuse(job, refusal)
                 return
-        # Keys of callers without an organisation could collide.
-        may_claim = job.request.idempotency_key and job.organisation is not None
-        if job.idempotent or not may_claim:
+        # Idempotency keys of callers without an organisation could collide.
+        can_claim = job.request.idempotency_key and job.organisation is not None
+        if job.idempotent or not can_claim:
             self._start(job)
             return
-        self._claims.open(
+        self._claim_client.open(
             job,
             lambda: self._start_claimed(job),
             lambda refusal: self._refuse(job, refusal),
-            lambda: self._over(job),
+            lambda: self._on_job_ended(job),
         )
 
     def _start_claimed(self, job: Job) -> None:
         refusal = self._check_key(job, time.monotonic()) if job.key_hash else None
         if refusal is not None:
-            # The key was withdrawn, or freshness lost, while the claim was agreed.
-            self._claims.give_up(job, ClaimState.NOT_RUN)
+            # The key was withdrawn, or freshness lost, before the claim was committed.
+            self._claim_client.close_unfinished(job, ClaimState.NOT_RUN)
             self._refuse(job, refusal)
             return
-        if job.is_over:
-            # The caller left while the claim was agreed; the run goes on, since
-            # the claim promises an outcome to its resend.
+        if job.has_ended:
+            # The caller disconnected before the claim was committed. The request
+            # runs all the same, since the claim promises an outcome to a resend.
             logger.info("event=claim_without_caller request={}", job.request.request_id)
         self._start(job)
 
@@ -184,10 +188,10 @@
         settings = self._context.settings.exchange
         if job.is_stream:
             settings = evolve(settings, first_event_timeout_s=job.route.timeout_s)
-        job.exchange = Exchange(settings, self._exchange_request(job))
+        job.exchange = Exchange(settings, self._make_exchange_request(job))
         self._runner.start(job)
 
-    def _exchange_request(self, job: Job) -> ExchangeRequest:
+    def _make_exchange_request(self, job: Job) -> ExchangeRequest:
         is_language = job.language is not None
         request = ExchangeRequest(
             request_id=job.request.request_id,
@@ -220,7 +224,7 @@
         job.caller.write(responses.refusal_response(refusal, request_id))
         job.caller.finish()
         self._count_refusal(job, refusal)
-        self._over(job)
+        self._on_job_ended(job)
 
     def _count_refusal(self, job: Job, refusal: Refusal) -> None:
         organisation = job.organisation_name
@@ -237,37 +241,38 @@
             refusal.mark.value,
         )
 
-    def _caller_gone(self, job: Job) -> None:
-        if self._queueing.leave(job):
-            self._over(job)
+    def _on_caller_disconnected(self, job: Job) -> None:
+        if self._admission.cancel(job):
+            self._on_job_ended(job)
         elif job.exchange is not None and not job.claim_attempt:
-            self._runner.caller_gone(job)
-        elif job.exchange is None and not job.is_over and not job.claim_attempt:
-            # A claim is being agreed; the run decides on its own.
+            self._runner.on_caller_disconnected(job)
+        elif job.exchange is None and not job.has_ended and not job.claim_attempt:
+            # A claim is being committed; its result decides whether the request runs.
             logger.info("event=caller_gone request={}", job.request.request_id)
 
-    def _withdraw(self, job: Job) -> None:
-        if self._queueing.leave(job):
+    def _on_key_withdrawn(self, job: Job) -> None:
+        if self._admission.cancel(job):
             refusal = Refusal(401, "invalid_key", "the key was withdrawn")
             self._refuse(job, refusal)
         elif job.exchange is not None:
-            self._runner.withdraw(job)
+            self._runner.on_key_withdrawn(job)
 
-    def _over(self, job: Job) -> None:
-        if job.is_over:
+    def _on_job_ended(self, job: Job) -> None:
+        if job.has_ended:
             return
-        job.is_over = True
+        job.has_ended = True
         self._context.jobs.discard(job)
         if not job.caller.is_closed:
             self._closing.add(job)
-        # Freed slots are used after the present call, which may be in a queue.
-        self._context.loop.call_soon(lambda: self._queueing.pump(job.service.name))
+        # Freed slots are used after the current call returns, since the call may
+        # come from a queue.
+        self._context.loop.call_soon(lambda: self._admission.dispatch(job.service.name))
 
     def _tick(self) -> None:
         self._check_freshness()
         self._closing = {job for job in self._closing if not job.caller.is_closed}
-        self._queueing.expire()
-        self._queueing.pump_all()
+        self._admission.refuse_expired()
+        self._admission.dispatch_all()
 
     def _check_freshness(self) -> None:
         is_fresh = self._context.freshness.is_fresh(time.monotonic())
--- a/berylnotch/server/errors.py
+++ b/berylnotch/server/errors.py
@@ -14,13 +14,13 @@
     status : int
         HTTP status.
     code : str
-        Reason for programs, such as ``rate_limited``.
+        Machine-readable reason, such as ``rate_limited``.
     message : str
-        Reason for people.
+        Human-readable reason.
     mark : RunMark, default=RunMark.NOT_RUN
         Whether a target ran the request.
     retry_after_s : float, default=0.0
-        When to come back; 0 if a repeat would be refused as well.
+        Seconds until a retry is useful; 0 if a retry would be refused as well.
     """
 
     def __init__(
--- a/berylnotch/server/handover.py
+++ b/berylnotch/server/handover.py
@@ -1,4 +1,4 @@
-"""HTTP server whose connections a request handler can take over."""
+"""HTTP server whose connections a request handler can detach."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 from berylnotch.util.address import Address
 
-#: Key of the WSGI environment that holds the take-over function.
+#: Key of the WSGI environment that holds the detach function.
 DETACH_KEY = "berylnotch.detach"
 
-#: Takes the connection's socket from the server.
+#: Detaches the connection from the server and returns its socket.
 Detach = Callable[[], socket.socket]
 
 WsgiApp = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
 #: Threads that read and check requests; streaming uses none of them.
-_WORKERS = 16
+_WORKER_THREADS = 16
 #: Seconds in which a caller has to send the next bytes of a request.
 _READ_TIMEOUT_S = 10
 _BACKLOG = 1024
@@ -29,17 +29,17 @@
 
 
 class _Connection(HTTPConnection):
-    """Connection that leaves its socket open once it was taken over."""
+    """Connection that leaves its socket open after it was detached."""
 
-    detached = False
+    is_detached = False
 
     def _close_kernel_socket(self) -> None:
-        if not self.detached:
+        if not self.is_detached:
             super()._close_kernel_socket()
 
 
 class _Gateway(wsgi.Gateway_10):
-    """WSGI gateway that offers the take-over function."""
+    """WSGI gateway that provides the detach function."""
 
     def get_environ(self) -> dict[str, Any]:
         environ = super().get_environ()
@@ -53,7 +53,7 @@
         request.sent_headers = True
         request.chunked_write = False
         request.close_connection = True
-        request.conn.detached = True
+        request.conn.is_detached = True
         sock = socket.socket(fileno=os.dup(request.conn.socket.fileno()))
         sock.setblocking(False)
         return sock
@@ -65,18 +65,18 @@
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 picks a free one.
+        Address to listen on; port 0 selects a free port.
     app : callable
         WSGI application.
     max_body_bytes : int
-        Longest request body.
+        Longest request body, in bytes.
     """
 
     def __init__(self, address: Address, app: WsgiApp, max_body_bytes: int) -> None:
         self._server = wsgi.Server(
             address.pair,
             app,
-            numthreads=_WORKERS,
+            numthreads=_WORKER_THREADS,
             request_queue_size=_BACKLOG,
             timeout=_READ_TIMEOUT_S,
             server_name="berylnotch",
@@ -88,7 +88,7 @@
 
     @property
     def address(self) -> Address:
-        """Address in use, with the port that was picked."""
+        """Address in use, with the selected port."""
         host, port = self._server.bind_addr
         return Address(host, port)
 
--- a/berylnotch/server/intake.py
+++ b/berylnotch/server/intake.py
@@ -1,4 +1,4 @@
-"""Reading and checking a caller's request, before anything is decided."""
+"""Parsing and validation of callers' requests."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 if TYPE_CHECKING:
     from werkzeug import Request
 
-#: Prompt bytes taken for one token.
+#: Prompt bytes that the estimate of prompt tokens counts as one token.
 BYTES_PER_TOKEN = 4
 #: Longest idempotency key, in characters.
-MAX_IDEMPOTENCY_KEY = 200
-_MAX_REQUEST_ID = 100
-_SECRET_HEADERS = ("authorization", "x-api-key", "cookie", "proxy-authorization")
+MAX_IDEMPOTENCY_KEY_LENGTH = 200
+_MAX_REQUEST_ID_LENGTH = 100
+_CREDENTIAL_HEADERS = ("authorization", "x-api-key", "cookie", "proxy-authorization")
 
 #: Paths of a language service below its route's prefix.
-CHAT = "/chat/completions"
-COMPLETIONS = "/completions"
-MODELS = "/models"
+CHAT_PATH = "/chat/completions"
+COMPLETIONS_PATH = "/completions"
+MODELS_PATH = "/models"
 
 
 @frozen
 class CallerRequest:
-    """A request as it came, without the caller's key.
+    """A request as the caller sent it, without the caller's key.
 
-    ``headers`` go by name in lower case and hold no credentials.
+    The names in ``headers`` are in lower case; credentials are removed.
     """
 
     request_id: str
@@ -47,20 +47,20 @@
 
 @frozen
 class LanguageCall:
-    """What a language request asks for.
+    """Parsed body of a language request.
 
     Parameters
     ----------
     model : str
         Model name.
     stream : bool
-        Whether the answer shall be streamed.
+        Whether the caller asked for a streamed answer.
     prompt : bytes
         Prompt in a canonical form, for prefix hashing.
     prompt_tokens : int
         Estimated tokens of the prompt.
     max_tokens : int
-        Most tokens to generate; 0 if the caller set no limit.
+        Limit of generated tokens; 0 if the caller set none.
     """
 
     model: str
@@ -72,37 +72,37 @@
 
 def read_key(request: Request) -> str:
     """Return the caller's key, or an empty string."""
-    kind, _, key = request.headers.get("Authorization", "").partition(" ")
-    if kind.lower() == "bearer":
+    scheme, _, key = request.headers.get("Authorization", "").partition(" ")
+    if scheme.lower() == "bearer":
         return key.strip()
     return request.headers.get("X-Api-Key", "").strip()
 
 
 def read_request(request: Request) -> CallerRequest:
-    """Read the whole request.
+    """Read the headers and the whole body of a request.
 
     Raises
     ------
     Refusal
-        If it cannot be read.
+        If the body cannot be read, or the idempotency key is too long.
     """
     try:
         body = request.get_data(cache=False)
     except HTTPException as error:
         raise Refusal(error.code or 400, "unreadable", str(error)) from error
     idempotency_key = request.headers.get("Idempotency-Key", "").strip()
-    if len(idempotency_key) > MAX_IDEMPOTENCY_KEY:
+    if len(idempotency_key) > MAX_IDEMPOTENCY_KEY_LENGTH:
         raise Refusal(
             400,
             "invalid_idempotency_key",
-            f"Idempotency-Key has at most {MAX_IDEMPOTENCY_KEY} characters",
+            f"Idempotency-Key has at most {MAX_IDEMPOTENCY_KEY_LENGTH} characters",
         )
     return CallerRequest(
         request_id=request_id(request),
         method=request.method,
         path=request.path,
         query=request.query_string.decode("latin-1"),
-        headers=_safe_headers(request),
+        headers=_without_credentials(request),
         body=body,
         idempotency_key=idempotency_key,
         last_event_id=request.headers.get("Last-Event-ID", "").strip(),
@@ -118,36 +118,36 @@
         With status 400, if a field is missing or has a wrong type.
     """
     fields = _read_object(body)
-    model = _typed(fields, "model", str, "")
+    model = _read_field(fields, "model", str, "")
     if not model:
         raise _invalid("model", "is missing")
-    prompt = _chat_prompt(fields) if is_chat else _plain_prompt(fields)
-    limit = _typed(fields, "max_completion_tokens", int, 0)
-    limit = limit or _typed(fields, "max_tokens", int, 0)
-    if limit < 0:
+    prompt = _chat_prompt(fields) if is_chat else _completion_prompt(fields)
+    token_limit = _read_field(fields, "max_completion_tokens", int, 0)
+    token_limit = token_limit or _read_field(fields, "max_tokens", int, 0)
+    if token_limit < 0:
         raise _invalid("max_tokens", "is negative")
     return LanguageCall(
         model=model,
-        stream=_typed(fields, "stream", bool, False),
+        stream=_read_field(fields, "stream", bool, False),
         prompt=prompt,
         prompt_tokens=max(1, math.ceil(len(prompt) / BYTES_PER_TOKEN)),
-        max_tokens=limit,
+        max_tokens=token_limit,
     )
 
 
-def _safe_headers(request: Request) -> dict[str, str]:
+def _without_credentials(request: Request) -> dict[str, str]:
     fields = {name.lower(): value for name, value in request.headers}
-    for name in _SECRET_HEADERS:
+    for name in _CREDENTIAL_HEADERS:
         fields.pop(name, None)
     return fields
 
 
 def request_id(request: Request) -> str:
-    """Return the id that the caller chose, if it is usable, or a new one."""
-    given = request.headers.get("X-Request-Id", "")
-    if given and len(given) <= _MAX_REQUEST_ID and given.isascii():
-        if all(char.isalnum() or char in "-_." for char in given):
-            return given
+    """Return the request id that the caller sent if it is valid, or a new one."""
+    caller_id = request.headers.get("X-Request-Id", "")
+    if caller_id and len(caller_id) <= _MAX_REQUEST_ID_LENGTH and caller_id.isascii():
+        if all(char.isalnum() or char in "-_." for char in caller_id):
+            return caller_id
     return "req-" + secrets.token_hex(12)
 
 
@@ -161,13 +161,17 @@
     return fields
 
 
-def _typed(fields: dict[str, Any], name: str, kind: type, default: Any) -> Any:
+def _read_field(
+    fields: dict[str, Any], name: str, expected_type: type, default: Any
+) -> Any:
     value = fields.get(name)
     if value is None:
         return default
     # bool is a subclass of int.
-    if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
-        raise _invalid(name, f"is no {kind.__name__}")
+    if not isinstance(value, expected_type) or (
+        expected_type is int and isinstance(value, bool)
+    ):
+        raise _invalid(name, f"is no {expected_type.__name__}")
     return value
 
 
@@ -179,11 +183,11 @@
     for message in messages:
         if not isinstance(message, dict) or not isinstance(message.get("role"), str):
             raise _invalid("messages", "has an item without a role")
-        parts.append(f"<{message['role']}>{_content(message.get('content'))}")
+        parts.append(f"<{message['role']}>{_content_text(message.get('content'))}")
     return "\n".join(parts).encode("utf-8", "surrogatepass")
 
 
-def _content(content: Any) -> str:
+def _content_text(content: Any) -> str:
     if content is None:
         return ""
     if isinstance(content, str):
@@ -193,7 +197,7 @@
     raise _invalid("messages", "has a content that is neither text nor a list")
 
 
-def _plain_prompt(fields: dict[str, Any]) -> bytes:
+def _completion_prompt(fields: dict[str, Any]) -> bytes:
     prompt = fields.get("prompt")
     if isinstance(prompt, str):
         return prompt.encode("utf-8", "surrogatepass")
--- a/berylnotch/server/job.py
+++ b/berylnotch/server/job.py
@@ -1,4 +1,4 @@
-"""A caller's request while the router works on it."""
+"""State of a caller's request while the router processes it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from berylnotch.gateways.transfers import Transfer
     from berylnotch.membership.targets import Dispatch
     from berylnotch.placement.placer import Prompt
-    from berylnotch.server.caller import Caller
+    from berylnotch.server.caller import CallerConnection
     from berylnotch.server.intake import CallerRequest, LanguageCall
     from berylnotch.streams.actions import Action, SendBytes
     from berylnotch.streams.exchange import Exchange
@@ -23,7 +23,7 @@
 
 @define(eq=False)
 class Attempt:
-    """The run of a request at one target."""
+    """One attempt to run a request at a target."""
 
     number: int
     target: str
@@ -33,7 +33,7 @@
 
 
 @define(eq=False)
-class Unpaid:
+class UnchargedBytes:
     """Bytes that wait until their tokens are charged."""
 
     action: SendBytes
@@ -53,25 +53,35 @@
     key_hash : bytes
         Keyed hash by which the key is looked up; empty on an open route.
     organisation : Organisation or None
-        Whom the request runs for; None on an open route without a key.
+        Organisation of the caller's key; None on an open route.
     route : Route
-        Route that matched.
+        Route that the request's path matched.
     service : Service
         Service that answers.
     fingerprint : bytes
-        Identity of organisation and body, for crash reports.
+        Identity of organisation, path and body, for crash reports and resumption.
     arrived_at : float
         Monotonic time of arrival.
     deadline : float
         Monotonic time after which the caller gets no answer.
-    caller : Caller
+    caller : CallerConnection
         The caller's connection.
     idempotent : bool
-        Whether a second run does no harm.
+        Whether the request may safely run more than once.
     language : LanguageCall or None
-        What is asked of a language service.
+        Parsed body of a request to a language service; None for other services.
     prompt : Prompt or None
         Prompt of a language request, with its prefix hashes.
+    uncharged : list of UnchargedBytes
+        Bytes held until their tokens are charged.
+    claim_attempt : str
+        Identifier of the claim under which the request runs; empty if none.
+    held_actions : list of Action
+        Answer to a claimed request, held until the outcome is recorded.
+    pending_finish : callable or None
+        Ends an answer whose last bytes wait for tokens; None if no end is due.
+    is_poison : bool
+        Whether the request is refused because targets were lost running it.
     """
 
     request: CallerRequest
@@ -88,25 +98,25 @@
     prompt: Prompt | None = None
     resume_after: int = 0
     resume_weights: str = ""
-    caller: Caller | None = None
+    caller: CallerConnection | None = None
     exchange: Exchange | None = None
     ticket: Ticket | None = None
     attempt: Attempt | None = None
     timer: Timer | None = None
-    unpaid: list[Unpaid] = field(factory=list)
+    uncharged: list[UnchargedBytes] = field(factory=list)
     chunked: bool = False
     charged_tokens: int = 0
     first_byte_at: float = 0.0
     last_event_at: float = 0.0
     claim_attempt: str = ""
-    held: list[Action] = field(factory=list)
-    finish: Callable[[], None] | None = None
-    is_over: bool = False
+    held_actions: list[Action] = field(factory=list)
+    pending_finish: Callable[[], None] | None = None
+    has_ended: bool = False
     is_poison: bool = False
 
     @property
     def organisation_name(self) -> str:
-        """Name of the organisation; empty on an open route without a key."""
+        """Name of the organisation; empty on an open route."""
         return self.organisation.name if self.organisation is not None else ""
 
     @property
--- a/berylnotch/server/judging.py
+++ b/berylnotch/server/judging.py
@@ -1,4 +1,4 @@
-"""What the ends of attempts tell: target health, crashes, retry budget."""
+"""Updates of target health, crash suspicions and retry budgets after attempts."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from berylnotch.server.job import Attempt, Job
     from berylnotch.streams.actions import AttemptFailed, Finish, StartAttempt
 
-#: Causes that speak of a lost target rather than of one that answers badly.
-_LOSSES = (FailureCause.LOST, FailureCause.EMPTY)
-#: Causes that tell nothing bad of the target.
-_NEUTRAL = (FailureCause.REFUSED, FailureCause.WEIGHTS)
-#: Seconds for which a crash report is proposed.
-_REPORT_S = 10.0
+#: Causes that indicate the loss of the target rather than a bad answer.
+_LOSS_CAUSES = (FailureCause.LOST, FailureCause.EMPTY)
+#: Causes that do not count as failures of the target.
+_NEUTRAL_CAUSES = (FailureCause.REFUSED, FailureCause.WEIGHTS)
+#: Seconds for which the proposal of a crash report is retried.
+_REPORT_TIMEOUT_S = 10.0
 
 
-class Judging:
-    """Keeps health, crash suspicion and retry budgets from attempts.
+class AttemptAccounting:
+    """Updates target health, crash suspicions and retry budgets after attempts.
 
     Parameters
     ----------
@@ -39,16 +39,17 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def is_refused(self, job: Job, now: float) -> bool:
-        """Return whether targets were lost while they ran the job's request."""
+        """Return whether losses of targets bar the request, and set ``is_poison``."""
         job.is_poison = self._context.guard.is_refused(
-            now, job.fingerprint, self._context.shared_losses
+            now, job.fingerprint, self._context.reported_losses
         )
         return job.is_poison
 
-    def may_attempt(self, job: Job, action: StartAttempt) -> bool:
-        """Hold retries to a part of the first attempts.
+    def can_attempt(self, job: Job, action: StartAttempt) -> bool:
+        """Return whether the retry budget allows the attempt.
 
-        A stream that has begun is resumed all the same.
+        The budget limits retries to a fraction of the first attempts. The
+        resumption of a stream that has begun is always allowed.
         """
         budget = self._budgets.get(job.service.name)
         if budget is None:
@@ -59,16 +60,16 @@
             return True
         return bool(action.resume_after) or budget.spend()
 
-    def answered(self, attempt: Attempt) -> None:
-        """Take the head of an attempt's answer."""
+    def on_head(self, attempt: Attempt) -> None:
+        """Record the engine's incarnation from the head of an answer."""
         incarnation = attempt.head.incarnation
         if incarnation and self._context.health.observe(attempt.target, incarnation):
             self._context.placer.target_lost(attempt.target)
 
-    def failed(self, job: Job, action: AttemptFailed) -> None:
-        """Take an attempt that ended without an answer."""
+    def on_attempt_failed(self, job: Job, action: AttemptFailed) -> None:
+        """Record an attempt that ended without an answer."""
         now = time.monotonic()
-        if action.cause in _NEUTRAL:
+        if action.cause in _NEUTRAL_CAUSES:
             self._context.health.abandon(job.attempt.dispatch)
         else:
             self._context.health.finish(now, job.attempt.dispatch, False)
@@ -81,12 +82,12 @@
             action.target,
             action.cause.value,
         )
-        if action.cause in _LOSSES:
-            self._suspect(job, action, now)
+        if action.cause in _LOSS_CAUSES:
+            self._record_loss(job, action, now)
         self._context.guard.ended(job.fingerprint, action.target)
 
-    def finished(self, job: Job, action: Finish, now: float) -> None:
-        """Take the end of a job."""
+    def on_exchange_finished(self, job: Job, action: Finish, now: float) -> None:
+        """Record the end of a job's exchange."""
         attempt = job.attempt
         if attempt is None:
             return
@@ -97,14 +98,17 @@
         else:
             self._context.health.abandon(attempt.dispatch)
         if action.reason is FinishReason.TARGET_FAILED:
-            # The loss that ended it may have been the second.
+            # The loss that ended the exchange may have been the second, after which
+            # the request is refused.
             self.is_refused(job, now)
 
-    def _suspect(self, job: Job, action: AttemptFailed, now: float) -> None:
-        guard, shared = self._context.guard, self._context.shared_losses
-        verdict = guard.lost(now, action.target, (job.fingerprint,), shared)
+    def _record_loss(self, job: Job, action: AttemptFailed, now: float) -> None:
+        guard, reported_losses = self._context.guard, self._context.reported_losses
+        verdict = guard.lost(now, action.target, (job.fingerprint,), reported_losses)
         head = job.attempt.head
         incarnation = head.incarnation if head is not None else ""
         for fingerprint in verdict.reported:
             command = ReportCrash(fingerprint, action.target, incarnation)
-            self._context.proposer.propose(command, _REPORT_S, lambda _result: None)
+            self._context.proposer.propose(
+                command, _REPORT_TIMEOUT_S, lambda _result: None
+            )
--- a/berylnotch/server/needs.py
+++ b/berylnotch/server/needs.py
@@ -1,4 +1,4 @@
-"""Tokens for which the requests of each organisation wait."""
+"""Demand for tokens of each organisation's waiting requests."""
 
 from __future__ import annotations
 
@@ -12,66 +12,72 @@
 
 
 @frozen
-class _Need:
-    """All tokens that a request waits for, and the fewest that help it."""
+class _Demand:
+    """Tokens that a request waits for, and the fewest with which it can proceed."""
 
     tokens: int
-    first: int
+    min_tokens: int
 
 
-class TokenNeeds:
-    """Keeps the quota informed of the waiting work.
+class TokenDemand:
+    """Reports the token demand of waiting requests to the quota.
 
     Parameters
     ----------
     quota : LocalQuota
-        Told the sum for each organisation.
-    hurry : callable
-        Called when a new need arises, to ask the owner soon.
+        Receives the demand of each organisation.
+    request_grant : callable
+        Called on new demand, to request a grant from the owner soon.
     """
 
-    def __init__(self, quota: LocalQuota, hurry: Callable[[], None]) -> None:
+    def __init__(self, quota: LocalQuota, request_grant: Callable[[], None]) -> None:
         self._quota = quota
-        self._hurry = hurry
-        self._needs: dict[str, dict[str, _Need]] = {}
+        self._request_grant = request_grant
+        self._demands: dict[str, dict[str, _Demand]] = {}
 
-    def add(self, organisation: str, request_id: str, tokens: int, first: int) -> None:
-        """Set what one request waits for.
+    def update(
+        self, organisation: str, request_id: str, tokens: int, min_tokens: int
+    ) -> None:
+        """Set the demand of one request.
 
         Parameters
         ----------
         organisation : str
-            Whose request it is.
+            Organisation of the request.
         request_id : str
-            The request.
+            Identifier of the request.
         tokens : int
-            All that it waits for.
-        first : int
-            Fewest tokens with which it can go on.
+            All tokens that the request waits for.
+        min_tokens : int
+            Fewest tokens with which the request can proceed.
         """
-        self._needs.setdefault(organisation, {})[request_id] = _Need(tokens, first)
-        self._tell(organisation)
-        self._hurry()
+        self._demands.setdefault(organisation, {})[request_id] = _Demand(
+            tokens, min_tokens
+        )
+        self._update_quota(organisation)
+        self._request_grant()
 
     def remove(self, organisation: str, request_id: str) -> None:
-        """Forget a request that waits no longer."""
-        needs = self._needs.get(organisation)
-        if needs is None or needs.pop(request_id, None) is None:
+        """Remove the demand of a request that no longer waits."""
+        demands = self._demands.get(organisation)
+        if demands is None or demands.pop(request_id, None) is None:
             return
-        self._tell(organisation)
-        if not needs:
-            del self._needs[organisation]
+        self._update_quota(organisation)
+        if not demands:
+            del self._demands[organisation]
 
-    def waiting(self, organisation: str) -> int:
+    def waiting_tokens(self, organisation: str) -> int:
         """Return the tokens for which an organisation's requests wait."""
-        needs = self._needs.get(organisation, {}).values()
-        return sum(need.tokens for need in needs)
+        demands = self._demands.get(organisation, {}).values()
+        return sum(demand.tokens for demand in demands)
 
     def organisations(self) -> tuple[str, ...]:
-        """Return the organisations with waiting work."""
-        return tuple(self._needs)
-
-    def _tell(self, organisation: str) -> None:
-        needs = self._needs[organisation].values()
-        first = min((need.first for need in needs), default=0)
-        self._quota.want(organisation, sum(need.tokens for need in needs), first)
+        """Return the organisations with waiting requests."""
+        return tuple(self._demands)
+
+    def _update_quota(self, organisation: str) -> None:
+        demands = self._demands[organisation].values()
+        min_tokens = min((demand.min_tokens for demand in demands), default=0)
+        self._quota.want(
+            organisation, sum(demand.tokens for demand in demands), min_tokens
+        )
--- a/berylnotch/server/polling.py
+++ b/berylnotch/server/polling.py
@@ -1,4 +1,4 @@
-"""Load reports and cache events that a router fetches from engines."""
+"""Periodic fetching of load reports from engines."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
     from berylnotch.gateways.load import TargetLoad
     from berylnotch.server.context import Context
 
-#: Seconds between two reports of one engine, at a fleet of few engines.
+#: Seconds between two reports of one engine in a small fleet.
 INTERVAL_S = 0.5
-#: Most reports that a router fetches a second; more engines are asked less often.
+#: Most reports that a router fetches per second; in a larger fleet it polls each
+#: engine less often.
 MAX_REPORTS_PER_S = 40.0
 _TIMEOUT_S = 1.0
 _TICK_S = 0.05
 
 
 class Polling:
-    """Asks each engine in turn; runs in the loop's thread.
+    """Polls the load of each engine; runs in the loop's thread.
 
     Parameters
     ----------
@@ -36,12 +37,13 @@
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._due: dict[str, float] = {}
-        # Routers that started together must not ask an engine together.
+        self._next_poll_at: dict[str, float] = {}
+        # Random times of the first poll keep routers that started together from
+        # polling an engine at the same time.
         self._rng = random.Random(context.incarnation)
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start polling."""
         self._context.loop.call_every(_TICK_S, self._tick)
 
     def _tick(self) -> None:
@@ -49,31 +51,33 @@
         engines = self._engines()
         interval_s = max(INTERVAL_S, len(engines) / MAX_REPORTS_PER_S)
         for target in engines:
-            due = self._due.get(target.name)
-            if due is None:
-                self._due[target.name] = now + self._rng.random() * interval_s
-            elif now >= due:
-                self._due[target.name] = now + interval_s
-                self._ask(now, target)
+            next_poll_at = self._next_poll_at.get(target.name)
+            if next_poll_at is None:
+                self._next_poll_at[target.name] = now + self._rng.random() * interval_s
+            elif now >= next_poll_at:
+                self._next_poll_at[target.name] = now + interval_s
+                self._fetch_load(now, target)
 
     def _engines(self) -> tuple[Target, ...]:
         fleet = self._context.view.fleet
-        language = {
+        language_services = {
             name
             for name, service in fleet.services.items()
             if service.kind is ServiceKind.LANGUAGE
         }
-        return tuple(t for t in fleet.targets.values() if t.service in language)
+        return tuple(
+            t for t in fleet.targets.values() if t.service in language_services
+        )
 
-    def _ask(self, now: float, target: Target) -> None:
+    def _fetch_load(self, now: float, target: Target) -> None:
         credential = self._context.settings.target_credential
         request = build_load(EngineAddress(target.address, credential), _TIMEOUT_S)
 
-        def done(load: TargetLoad | None, _error: GatewayError | None) -> None:
+        def on_load(load: TargetLoad | None, _error: GatewayError | None) -> None:
             if load is None:
                 return
             report = to_report(load, now)
             if self._context.health.report(target.name, report):
                 self._context.placer.target_lost(target.name)
 
-        fetch(self._context.upstreams, request, read_load, done)
+        fetch(self._context.upstreams, request, read_load, on_load)
--- a/berylnotch/server/queueing.py
+++ b/berylnotch/server/queueing.py
@@ -1,4 +1,4 @@
-"""Waiting of requests for tokens and for a free slot at a target."""
+"""Queues of requests that wait for tokens and for a free slot at a target."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from berylnotch.server.errors import Refusal
 
 if TYPE_CHECKING:
-    from berylnotch.server.attempts import Attempts
+    from berylnotch.server.attempts import TargetSelector
     from berylnotch.server.context import Context
     from berylnotch.server.job import Job
-    from berylnotch.server.needs import TokenNeeds
+    from berylnotch.server.needs import TokenDemand
 
-#: Tokens that a request to a plain service counts for in the fair queue.
-_PLAIN_COST = 1
-#: Weight of requests on open routes without a key.
-_OPEN_SHARE = 1.0
-_MESSAGES = {
+#: Cost of a request to a plain service in the fair queue, in tokens.
+_PLAIN_COST_TOKENS = 1
+#: Fair-queue weight of requests on open routes, where no organisation is known.
+_OPEN_ROUTE_SHARE = 1.0
+_REFUSAL_MESSAGES = {
     RefusalReason.QUEUE_FULL: "too many requests wait here",
     RefusalReason.ORGANISATION_FULL: "too many requests of the organisation wait here",
     RefusalReason.WAIT_TOO_LONG: "the expected wait is too long",
@@ -29,19 +29,19 @@
 }
 
 
-class Queueing:
+class AdmissionQueues:
     """One fair queue for each service.
 
     Parameters
     ----------
     context : Context
         Shared state.
-    attempts : Attempts
-        Tells the free slots of targets.
-    needs : TokenNeeds
-        Told the tokens for which requests wait.
+    selector : TargetSelector
+        Gives the number of free slots at targets.
+    demand : TokenDemand
+        Receives the number of tokens for which requests wait.
     run : callable
-        Called with a job whose turn it is; its tokens are charged.
+        Called with a job to run; its tokens have been charged.
     refuse : callable
         Called with a job that will not run, and the refusal.
     """
@@ -49,86 +49,86 @@
     def __init__(
         self,
         context: Context,
-        attempts: Attempts,
-        needs: TokenNeeds,
+        selector: TargetSelector,
+        demand: TokenDemand,
         run: Callable[[Job], None],
         refuse: Callable[[Job, Refusal], None],
     ) -> None:
         self._context = context
-        self._attempts = attempts
-        self._needs = needs
+        self._selector = selector
+        self._demand = demand
         self._run = run
         self._refuse = refuse
         self._queues: dict[str, FairQueue] = {}
         self._jobs: dict[str, Job] = {}
 
     @property
-    def waiting(self) -> int:
-        """Requests that wait."""
+    def waiting_jobs(self) -> int:
+        """Number of waiting requests."""
         return len(self._jobs)
 
-    def enter(self, job: Job) -> None:
-        """Queue a job; it may run at once."""
+    def enqueue(self, job: Job) -> None:
+        """Queue or refuse a job; a queued job may run at once."""
         now = time.monotonic()
         organisation = job.organisation
         if organisation is not None and job.cost_tokens > organisation.burst:
-            self._refuse(job, _too_large(job))
+            self._refuse(job, _burst_refusal(job))
             return
         retry_ms = self._retry_after_ms(job, now)
         if retry_ms:
-            self._refuse(job, _rate_limited(retry_ms / 1000))
+            self._refuse(job, _rate_refusal(retry_ms / 1000))
             return
-        ticket = self._ticket(job, now)
+        ticket = self._make_ticket(job, now)
         refusal = self._queue(job.service.name).offer(now, ticket)
         if refusal is not None:
-            self._refuse(job, _from_queue(refusal))
+            self._refuse(job, _queue_refusal(refusal))
             return
         job.ticket = ticket
         self._jobs[ticket.identity] = job
         if organisation is not None and job.cost_tokens:
-            self._needs.add(
+            self._demand.update(
                 organisation.name, ticket.identity, job.cost_tokens, job.cost_tokens
             )
-        self.pump(job.service.name)
+        self.dispatch(job.service.name)
 
-    def leave(self, job: Job) -> bool:
-        """Take out a job whose caller went away; return whether it waited."""
+    def cancel(self, job: Job) -> bool:
+        """Remove a job from its queue; return whether it was waiting."""
         if job.ticket is None or job.ticket.identity not in self._jobs:
             return False
         self._queue(job.service.name).cancel(job.ticket)
-        self._forget(job)
+        self._remove(job)
         return True
 
-    def pump_all(self) -> None:
-        """Run what can run now, after tokens or slots came."""
+    def dispatch_all(self) -> None:
+        """Run the requests that can run now, after tokens or slots became free."""
         for service, queue in tuple(self._queues.items()):
             queue.wake_all()
-            self.pump(service)
+            self.dispatch(service)
         self._refuse_excess()
 
-    def pump(self, service: str) -> None:
-        """Run what can run now of one service."""
+    def dispatch(self, service: str) -> None:
+        """Run the requests of one service that can run now."""
         queue = self._queue(service)
         now = time.monotonic()
-        while len(queue) and self._attempts.free_slots(now, service) > 0:
-            ticket = queue.pop(now, lambda ticket: self._pay(now, ticket))
+        while len(queue) and self._selector.free_slots(now, service) > 0:
+            ticket = queue.pop(now, lambda ticket: self._charge(now, ticket))
             if ticket is None:
                 return
             job = self._jobs[ticket.identity]
-            self._forget(job)
+            self._remove(job)
             self._run(job)
 
-    def expire(self) -> None:
-        """Refuse the requests whose time is over."""
+    def refuse_expired(self) -> None:
+        """Refuse the waiting requests whose deadline has passed."""
         now = time.monotonic()
         for queue in self._queues.values():
             for ticket in queue.expire(now):
                 job = self._jobs[ticket.identity]
-                self._forget(job)
-                self._refuse(job, self._expired(job))
+                self._remove(job)
+                self._refuse(job, self._expiry_refusal(job))
 
     def _retry_after_ms(self, job: Job, now: float) -> int:
-        """Return when to come back if the organisation is beyond its rate."""
+        """Return the time until a retry; 0 if the organisation is within its rate."""
         name = job.organisation_name
         quota = self._context.quota
         if not job.cost_tokens or quota.balance(now, name) >= job.cost_tokens:
@@ -142,20 +142,20 @@
             self._queues[service] = queue
         return queue
 
-    def _ticket(self, job: Job, now: float) -> Ticket:
+    def _make_ticket(self, job: Job, now: float) -> Ticket:
         organisation = job.organisation
-        share = float(organisation.share) if organisation else _OPEN_SHARE
+        share = float(organisation.share) if organisation else _OPEN_ROUTE_SHARE
         return Ticket(
             identity=f"{job.request.request_id}/{id(job)}",
             organisation=job.organisation_name,
             share=share,
-            cost=float(max(job.cost_tokens, _PLAIN_COST)),
+            cost=float(max(job.cost_tokens, _PLAIN_COST_TOKENS)),
             deadline=job.deadline,
             enqueued=now,
             priority=self._context.quota.priority(job.organisation_name),
         )
 
-    def _pay(self, now: float, ticket: Ticket) -> Fit:
+    def _charge(self, now: float, ticket: Ticket) -> Fit:
         job = self._jobs[ticket.identity]
         if job.organisation is None or not job.cost_tokens:
             return Fit.FITS
@@ -165,13 +165,13 @@
         job.charged_tokens += job.cost_tokens
         return Fit.FITS
 
-    def _forget(self, job: Job) -> None:
+    def _remove(self, job: Job) -> None:
         del self._jobs[job.ticket.identity]
-        self._needs.remove(job.organisation_name, job.ticket.identity)
+        self._demand.remove(job.organisation_name, job.ticket.identity)
 
     def _refuse_excess(self) -> None:
-        """Refuse what an organisation beyond its rate cannot get in time."""
-        for name in self._needs.organisations():
+        """Refuse requests that their organisation's rate cannot serve in time."""
+        for name in self._demand.organisations():
             retry_ms = self._context.quota.retry_after_ms(name)
             if retry_ms > 0:
                 self._refuse_newest(name, retry_ms)
@@ -180,16 +180,16 @@
         jobs = [job for job in self._jobs.values() if job.organisation_name == name]
         wait_s = self._context.settings.quota.wait_s
         for job in reversed(jobs):
-            allowed = job.organisation.rate * wait_s
-            if self._needs.waiting(name) <= allowed:
+            allowed_tokens = job.organisation.rate * wait_s
+            if self._demand.waiting_tokens(name) <= allowed_tokens:
                 return
-            self.leave(job)
-            self._refuse(job, _rate_limited(retry_ms / 1000))
+            self.cancel(job)
+            self._refuse(job, _rate_refusal(retry_ms / 1000))
 
-    def _expired(self, job: Job) -> Refusal:
+    def _expiry_refusal(self, job: Job) -> Refusal:
         retry_ms = self._context.quota.retry_after_ms(job.organisation_name)
         if retry_ms > 0:
-            return _rate_limited(retry_ms / 1000)
+            return _rate_refusal(retry_ms / 1000)
         retry_ms = self._queue(job.service.name).retry_after_ms(
             time.monotonic(), job.organisation_name
         )
@@ -197,7 +197,7 @@
         return Refusal(503, "timeout", message, retry_after_s=retry_ms / 1000)
 
 
-def _too_large(job: Job) -> Refusal:
+def _burst_refusal(job: Job) -> Refusal:
     message = (
         f"the prompt has about {job.cost_tokens} tokens, more than the burst of "
         f"{job.organisation.burst}"
@@ -205,12 +205,12 @@
     return Refusal(413, "prompt_exceeds_burst", message)
 
 
-def _rate_limited(retry_s: float) -> Refusal:
+def _rate_refusal(retry_s: float) -> Refusal:
     message = "the organisation has used up its rate and burst"
     return Refusal(429, "rate_limited", message, retry_after_s=retry_s)
 
 
-def _from_queue(refusal: QueueRefusal) -> Refusal:
+def _queue_refusal(refusal: QueueRefusal) -> Refusal:
     code = refusal.reason.value.replace("-", "_")
-    message = _MESSAGES[refusal.reason]
+    message = _REFUSAL_MESSAGES[refusal.reason]
     return Refusal(503, code, message, retry_after_s=refusal.retry_after_ms / 1000)
--- a/berylnotch/server/responses.py
+++ b/berylnotch/server/responses.py
@@ -1,4 +1,4 @@
-"""Response heads and error bodies towards callers."""
+"""Response heads and error bodies that are sent to callers."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 #: Header that tells whether a target ran the request.
 RUN_HEADER = "X-Berylnotch-Run"
-#: Header that names the request in logs and in ``berylnotch why``.
+#: Header with the id that names the request in logs and ``berylnotch why``.
 REQUEST_ID_HEADER = "X-Request-Id"
 
-_TYPES = {
+_ERROR_TYPES = {
     400: "invalid_request_error",
     401: "authentication_error",
     403: "permission_error",
@@ -25,9 +25,11 @@
 
 
 def error_body(code: str, message: str, status: int) -> bytes:
-    """Return an error in the form of the OpenAI interface."""
-    kind = _TYPES.get(status, "server_error" if status >= 500 else "request_error")
-    error = {"message": message, "type": kind, "param": None, "code": code}
+    """Return an error body in the format of the OpenAI API."""
+    error_type = _ERROR_TYPES.get(
+        status, "server_error" if status >= 500 else "request_error"
+    )
+    error = {"message": message, "type": error_type, "param": None, "code": code}
     return json.dumps({"error": error}).encode()
 
 
@@ -40,36 +42,36 @@
     if refusal.retry_after_s > 0:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry_after_s)))
     else:
-        # The well-known client retries by status alone unless told otherwise.
+        # The OpenAI client decides by status alone unless this header is present.
         headers["X-Should-Retry"] = "false"
     return headers
 
 
-def whole_response(status: int, headers: Headers, body: bytes) -> bytes:
-    """Return a response that closes its connection."""
+def complete_response(status: int, headers: Headers, body: bytes) -> bytes:
+    """Return a response with its body; the connection closes afterwards."""
     headers["Content-Length"] = str(len(body))
-    return head(status, headers) + body
+    return response_head(status, headers) + body
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> bytes:
     """Return a refusal as bytes."""
     body = error_body(refusal.code, refusal.message, refusal.status)
-    return whole_response(refusal.status, refusal_headers(refusal, request_id), body)
+    return complete_response(refusal.status, refusal_headers(refusal, request_id), body)
 
 
-def head(status: int, headers: Headers) -> bytes:
+def response_head(status: int, headers: Headers) -> bytes:
     """Return a status line and headers; the connection closes afterwards."""
     try:
-        phrase = HTTPStatus(status).phrase
+        reason_phrase = HTTPStatus(status).phrase
     except ValueError:
-        phrase = "Status"
+        reason_phrase = "Status"
     headers["Connection"] = "close"
-    lines = [f"HTTP/1.1 {status} {phrase}"]
+    lines = [f"HTTP/1.1 {status} {reason_phrase}"]
     lines += [f"{name}: {value}" for name, value in headers]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """Return one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
@@ -78,5 +80,5 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-#: Seconds after which a caller may come back when a short outage is the cause.
+#: Seconds after which a caller may retry when the cause is a short outage.
 SHORT_RETRY_S = 1.0
--- a/berylnotch/server/runner.py
+++ b/berylnotch/server/runner.py
@@ -1,4 +1,4 @@
-"""Runs exchanges: carries their actions out and feeds them what happens."""
+"""Execution of exchanges: performs their actions and passes them events."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from berylnotch.server import responses
 from berylnotch.server.errors import Refusal
 from berylnotch.server.job import Attempt
-from berylnotch.server.judging import Judging
+from berylnotch.server.judging import AttemptAccounting
 from berylnotch.streams.actions import (
     Action,
     AttemptFailed,
@@ -36,92 +36,92 @@
 
 if TYPE_CHECKING:
     from berylnotch.gateways.transfers import TransferEnd
-    from berylnotch.server.attempts import Attempts
-    from berylnotch.server.claims import Claims
+    from berylnotch.server.attempts import TargetSelector
+    from berylnotch.server.claims import ClaimClient
     from berylnotch.server.context import Context
     from berylnotch.server.delivery import Delivery
     from berylnotch.server.job import Job
 
-_POISON = "request_crashes_targets"
+_POISON_CODE = "request_crashes_targets"
 
 
 class Runner:
-    """Shell of all exchanges of a router; runs in the loop's thread.
+    """Performs the actions of a router's exchanges; runs in the loop's thread.
 
     Parameters
     ----------
     context : Context
         Shared state.
-    attempts : Attempts
-        Choice of targets.
-    claims : Claims
-        Outcomes of non-idempotent requests.
-    on_over : callable
-        Called with each job when it is over.
+    selector : TargetSelector
+        Selects targets and builds requests to them.
+    claim_client : ClaimClient
+        Records the outcomes of non-idempotent requests.
+    on_job_ended : callable
+        Called with each job that has ended.
     check_freshness : callable
-        Pauses all keyed jobs if keys cannot be verified any more.
+        Pauses all jobs with a key if keys can no longer be verified.
     """
 
     def __init__(
         self,
         context: Context,
-        attempts: Attempts,
-        claims: Claims,
-        on_over: Callable[[Job], None],
+        selector: TargetSelector,
+        claim_client: ClaimClient,
+        on_job_ended: Callable[[Job], None],
         check_freshness: Callable[[], None],
     ) -> None:
         self._context = context
         self._check_freshness = check_freshness
-        self._attempts = attempts
-        self._claims = claims
-        self._on_over = on_over
+        self._selector = selector
+        self._claim_client = claim_client
+        self._on_job_ended = on_job_ended
         self._delivery: Delivery | None = None
-        self._judging = Judging(context)
+        self._accounting = AttemptAccounting(context)
 
     def set_delivery(self, delivery: Delivery) -> None:
-        """Set where answers go."""
+        """Set the delivery that writes answers to callers."""
         self._delivery = delivery
 
     def start(self, job: Job) -> None:
-        """Run a job whose exchange is set."""
+        """Start the exchange of a job."""
         now = time.monotonic()
         self.perform(job, job.exchange.start(now))
         self._schedule_tick(job)
 
     def pause(self, job: Job, reason: PauseReason) -> None:
-        """Deliver nothing more of a job."""
+        """Pause the exchange of a job."""
         if job.exchange is not None:
             self.perform(job, job.exchange.pause(time.monotonic(), reason))
 
     def resume(self, job: Job, reason: PauseReason) -> None:
-        """Go on with a job."""
+        """Resume the exchange of a job."""
         if job.exchange is not None:
             self.perform(job, job.exchange.resume(time.monotonic(), reason))
 
-    def withdraw(self, job: Job) -> None:
+    def on_key_withdrawn(self, job: Job) -> None:
         """End a job whose key was withdrawn."""
-        self._delivery.drop_unpaid(job)
+        self._delivery.drop_uncharged(job)
         self.perform(job, job.exchange.key_withdrawn(time.monotonic()))
 
-    def caller_gone(self, job: Job) -> None:
-        """End a job whose caller went away."""
-        self._delivery.drop_unpaid(job)
+    def on_caller_disconnected(self, job: Job) -> None:
+        """End a job whose caller disconnected."""
+        self._delivery.drop_uncharged(job)
         self.perform(job, job.exchange.caller_gone(time.monotonic()))
 
     def perform(self, job: Job, actions: Iterable[Action]) -> None:
-        """Carry actions out, and those that follow from them."""
+        """Perform actions, and the actions that follow from them."""
         pending = deque(actions)
         try:
             while pending:
                 pending.extend(self._perform(job, pending.popleft()))
         except Exception:
-            # A mistake in one request must neither hang its caller nor end others.
+            # An internal error in one request must not hang its caller or end others.
             logger.exception("event=request_failed request={}", job.request.request_id)
             self.abort(job)
 
     def abort(self, job: Job) -> None:
         """End a job after an internal error; its outcome is not known."""
-        if job.is_over:
+        if job.has_ended:
             return
         if job.attempt is not None and job.attempt.transfer is not None:
             self._context.upstreams.cancel(job.attempt.transfer)
@@ -129,7 +129,7 @@
         if job.timer is not None:
             job.timer.cancel()
         if job.claim_attempt:
-            self._claims.give_up(job, ClaimState.UNKNOWN)
+            self._claim_client.close_unfinished(job, ClaimState.UNKNOWN)
         if not job.first_byte_at:
             message = "internal error; see the router's log"
             refusal = Refusal(500, "internal_error", message, RunMark.UNKNOWN)
@@ -139,7 +139,7 @@
             job.caller.finish()
         else:
             job.caller.close()
-        self._on_over(job)
+        self._on_job_ended(job)
 
     def _perform(self, job: Job, action: Action) -> tuple[Action, ...]:
         if isinstance(action, SendBytes | SendHead):
@@ -147,9 +147,9 @@
         elif isinstance(action, StartAttempt):
             return self._start_attempt(job, action)
         elif isinstance(action, CancelAttempt):
-            self._cancel(job)
+            self._cancel_upstream(job)
         elif isinstance(action, AttemptFailed):
-            self._judging.failed(job, action)
+            self._accounting.on_attempt_failed(job, action)
         elif isinstance(action, PauseUpstream):
             self._pause_upstream(job)
         elif isinstance(action, ResumeUpstream):
@@ -162,8 +162,8 @@
 
     def _send(self, job: Job, action: SendBytes | SendHead) -> None:
         if job.claim_attempt:
-            # A claimed answer leaves only after its outcome was agreed.
-            job.held.append(action)
+            # The answer to a claimed request is held until its outcome is recorded.
+            job.held_actions.append(action)
         elif isinstance(action, SendHead):
             self._delivery.send_head(job, action)
         else:
@@ -171,24 +171,26 @@
 
     def _start_attempt(self, job: Job, action: StartAttempt) -> tuple[Action, ...]:
         now = time.monotonic()
-        if self._judging.is_refused(job, now):
-            return job.exchange.no_target(now, action.number, _POISON)
-        if not self._judging.may_attempt(job, action):
+        if self._accounting.is_refused(job, now):
+            return job.exchange.no_target(now, action.number, _POISON_CODE)
+        if not self._accounting.can_attempt(job, action):
             message = f"too many requests to {job.service.name} fail at present"
             return job.exchange.no_target(now, action.number, message, 1.0)
-        choice = self._attempts.choose(job, action)
+        choice = self._selector.choose(job, action)
         if choice is None:
             message = f"no target of {job.service.name} can take the request"
             return job.exchange.no_target(now, action.number, message, 1.0)
         timeout_s = max(job.deadline - now, 0.001)
         try:
-            request = self._attempts.build(job, choice.target, action, timeout_s)
+            request = self._selector.build_request(
+                job, choice.target, action, timeout_s
+            )
         except ForbiddenRequestError as error:
             return job.exchange.no_target(now, action.number, str(error))
         name = choice.target.name
         dispatch = self._context.health.begin(now, name, choice.work_s)
         self._context.guard.began(job.fingerprint, name)
-        self._attempts.sent(job, choice)
+        self._selector.record_sent(job, choice)
         attempt = Attempt(action.number, name, dispatch)
         job.attempt = attempt
         actions = job.exchange.attempt_started(
@@ -203,11 +205,11 @@
         return actions
 
     def _on_head(self, job: Job, attempt: Attempt, lines: tuple[bytes, ...]) -> None:
-        read = read_engine_head if job.language is not None else read_plain_head
+        read_head = read_engine_head if job.language is not None else read_plain_head
         now = time.monotonic()
         try:
-            attempt.head = read(lines)
-            self._judging.answered(attempt)
+            attempt.head = read_head(lines)
+            self._accounting.on_head(attempt)
         except BadAnswerError:
             end = UpstreamEnd(complete=False, sent=True)
             self._context.upstreams.cancel(attempt.transfer)
@@ -219,7 +221,7 @@
     def _on_body(self, job: Job, attempt: Attempt, data: bytes) -> None:
         now = time.monotonic()
         self._context.health.first_token(attempt.dispatch)
-        # A stopped and continued process may find this before its timers.
+        # After a suspension of the process, data may arrive before timers run.
         self._check_freshness()
         self.perform(job, job.exchange.body(now, attempt.number, data))
         if job.caller.is_full:
@@ -231,7 +233,7 @@
         actions = job.exchange.upstream_end(now, attempt.number, upstream_end)
         self.perform(job, actions)
 
-    def _cancel(self, job: Job) -> None:
+    def _cancel_upstream(self, job: Job) -> None:
         attempt = job.attempt
         if attempt is not None and attempt.transfer is not None:
             self._context.upstreams.cancel(attempt.transfer)
@@ -248,36 +250,36 @@
         if job.timer is not None:
             job.timer.cancel()
         now = time.monotonic()
-        self._judging.finished(job, action, now)
+        self._accounting.on_exchange_finished(job, action, now)
         if action.reason is not FinishReason.COMPLETE:
-            self._delivery.drop_unpaid(job)
+            self._delivery.drop_uncharged(job)
         if job.claim_attempt:
-            self._claims.close(job, action, lambda: self._release(job, action))
+            self._claim_client.close(job, action, lambda: self._send_held(job, action))
         else:
-            self._conclude(job, action)
+            self._send_ending(job, action)
 
-    def _release(self, job: Job, action: Finish) -> None:
-        held, job.held = job.held, []
+    def _send_held(self, job: Job, action: Finish) -> None:
+        held_actions, job.held_actions = job.held_actions, []
         job.claim_attempt = ""
-        for item in held:
-            self._send(job, item)
-        self._conclude(job, action)
+        for held_action in held_actions:
+            self._send(job, held_action)
+        self._send_ending(job, action)
 
-    def _conclude(self, job: Job, action: Finish) -> None:
+    def _send_ending(self, job: Job, action: Finish) -> None:
         if action.status and action.reason is not FinishReason.CALLER_GONE:
             refusal = _refusal(job, action)
             job.caller.write(
                 responses.refusal_response(refusal, job.request.request_id)
             )
             job.caller.finish()
-            self._over(job, action)
+            self._end_job(job, action)
         elif action.reason is FinishReason.CALLER_GONE:
             job.caller.close()
-            self._over(job, action)
+            self._end_job(job, action)
         else:
-            self._delivery.finish(job, lambda: self._over(job, action))
+            self._delivery.finish(job, lambda: self._end_job(job, action))
 
-    def _over(self, job: Job, action: Finish) -> None:
+    def _end_job(self, job: Job, action: Finish) -> None:
         labels = (
             Label("service", job.service.name),
             Label("organisation", job.organisation_name),
@@ -285,7 +287,7 @@
             Label("run", action.mark.value),
         )
         self._context.metrics.count("berylnotch_requests_total", *labels)
-        self._context.decisions.finish(
+        self._context.decisions.record_outcome(
             job.request.request_id,
             f"{action.reason.value} run={action.mark.value} attempts={action.attempts}",
         )
@@ -304,20 +306,20 @@
             self._context.view.revision,
             int((time.monotonic() - job.arrived_at) * 1000),
         )
-        self._on_over(job)
+        self._on_job_ended(job)
 
     def _schedule_tick(self, job: Job) -> None:
         if job.timer is not None:
             job.timer.cancel()
         if job.exchange.is_finished:
             return
-        due = job.exchange.next_tick() - time.monotonic()
+        delay_s = job.exchange.next_tick() - time.monotonic()
         job.timer = self._context.loop.call_later(
-            max(due, 0.005), lambda: self._tick(job)
+            max(delay_s, 0.005), lambda: self._tick(job)
         )
 
     def _tick(self, job: Job) -> None:
-        if job.is_over:
+        if job.has_ended:
             return
         self.perform(job, job.exchange.tick(time.monotonic()))
         self._schedule_tick(job)
@@ -327,7 +329,7 @@
     if job.is_poison:
         return Refusal(
             422,
-            _POISON,
+            _POISON_CODE,
             "targets were lost while they ran this request; it is not run again",
             action.mark,
         )
--- a/tests/test_server/test_attempts.py
+++ b/tests/test_server/test_attempts.py
@@ -1,4 +1,8 @@
-"""Choice of a target for an attempt."""
+"""Selection of a target for a request that is suspected of crashing targets.
+
+A suspect avoids targets that run other suspects. If every target runs one, avoiding
+them all would leave the request without a target, although it may be harmless.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 from berylnotch.membership.targets import TargetHealth
 from berylnotch.placement.placer import Placer
 from berylnotch.placement.settings import PlacementSettings
-from berylnotch.server.attempts import Attempts
+from berylnotch.server.attempts import TargetSelector
 
 SERVICE = Service("order-desk", ServiceKind.PLAIN)
 NAMES = ("desk-0", "desk-1")
@@ -62,7 +66,7 @@
     )
 
 
-def test_suspect_is_not_given_up_if_others_run_everywhere(context):
+def test_suspect_gets_target_if_other_suspects_run_on_all(context):
     jobs = [make_job(bytes([i])) for i in range(3)]
     now = time.monotonic()
     context.guard.lost(now, "desk-2", [job.fingerprint for job in jobs])
@@ -70,4 +74,4 @@
         context.guard.began(job.fingerprint, name)
     action = SimpleNamespace(exclude=frozenset({"desk-2"}), weights="")
     assert context.guard.avoid(now, jobs[2].fingerprint) == set(NAMES)
-    assert Attempts(context).choose(jobs[2], action) is not None
+    assert TargetSelector(context).choose(jobs[2], action) is not None
--- a/tests/test_server/test_refusals_page.py
+++ b/tests/test_server/test_refusals_page.py
@@ -1,4 +1,7 @@
-"""Every refusal and log event in the source is on the operators' page."""
+"""Every refusal and log event in the source is listed on the operators' page.
+
+An operator could not look up a code or event that is missing there.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from pathlib import Path
 
 from berylnotch.admission.ticket import RefusalReason
-from berylnotch.server.runner import _POISON
+from berylnotch.server.runner import _POISON_CODE
 from berylnotch.streams.actions import FinishReason
 from berylnotch.streams.outcomes import REFUSAL_STATUSES
 
@@ -18,12 +21,12 @@
 EVENT = re.compile(r'"event=([a-z_]+)')
 
 
-def name(value):
+def to_code(value):
     return value.replace("-", "_")
 
 
-def written_refusals():
-    """Yield code and status of each refusal that is written out in the source."""
+def literal_refusals():
+    """Yield code and status of each `Refusal` call with a literal code."""
     for file in sorted((SOURCE / "server").glob("*.py")):
         for node in ast.walk(ast.parse(file.read_text(encoding="utf-8"))):
             if not isinstance(node, ast.Call) or len(node.args) < 2:
@@ -32,19 +35,21 @@
                 continue
             status, code = node.args[:2]
             if isinstance(code, ast.Constant):
-                found = status.value if isinstance(status, ast.Constant) else "4xx"
-                yield code.value, str(found)
+                status_text = (
+                    status.value if isinstance(status, ast.Constant) else "4xx"
+                )
+                yield code.value, str(status_text)
 
 
 def source_refusals():
-    found = set(written_refusals())
-    found |= {(name(reason.value), "503") for reason in RefusalReason}
-    found |= {
-        (name(reason.value), str(status))
+    refusals = set(literal_refusals())
+    refusals |= {(to_code(reason.value), "503") for reason in RefusalReason}
+    refusals |= {
+        (to_code(reason.value), str(status))
         for reason, status in REFUSAL_STATUSES.items()
         if reason is not FinishReason.CALLER_GONE
     }
-    return found | {(_POISON, "422")}
+    return refusals | {(_POISON_CODE, "422")}
 
 
 def source_events():
