--- a/berylnotch/net/__init__.py
+++ b/berylnotch/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on the event loop: callers' connections and connections to targets."""
+"""HTTP/1.1 server and client on the event loop, for callers and targets."""
--- a/berylnotch/net/client.py
+++ b/berylnotch/net/client.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 client connection to a target: one request at a time, no hidden resend."""
+"""HTTP/1.1 client connection to a target.
+
+A connection carries one request at a time and never resends a request by itself.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +20,14 @@
 
 _READ_BYTES = 64 * 1024
 
-#: Bytes beside the body of the own answer that are taken for one request, beyond as
-#: many as the body has: heads, interim and foreign answers, chunk sizes, trailers.
+#: Maximum overhead of one exchange in bytes, in addition to an overhead as large as the
+#: body. Overhead is every received byte outside the body of the response: heads,
+#: interim responses, responses to other requests, chunk sizes and trailers.
 MAX_OVERHEAD_BYTES = 256 * 1024
 
 
 class Failure(Enum):
-    """How far an exchange came before its connection failed."""
+    """Whether the target may have seen a request whose exchange failed."""
 
     #: No byte left this process, so the target has not seen the request.
     NOT_SENT = "not_sent"
@@ -33,10 +37,10 @@
 
 @frozen
 class ResponseHead:
-    """Status and headers of an answer.
+    """Status and headers of a response.
 
-    ``is_delimited`` tells whether length or chunks mark the end of the body; else
-    the end of the connection does.
+    ``is_delimited`` is true if a length or chunked encoding marks the end of the
+    body. Otherwise, the body ends when the target closes the connection.
     """
 
     status: int
@@ -45,48 +49,53 @@
 
 
 class ResponseSink:
-    """What an exchange tells its owner; each method does nothing by default.
+    """Callbacks for the response to a request; each does nothing by default.
 
-    `on_head` returns whether the answer belongs to the request. Another one is
-    skipped, and the connection serves no further request.
+    `on_head` returns whether the response belongs to the request. A response to
+    another request is skipped, and the connection serves no further request.
     """
 
     def on_head(self, head: ResponseHead) -> bool:
-        """Take the head of an answer."""
+        """Receive the head of a response; return whether it belongs to the request."""
         return True
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Receive a part of the body."""
 
     def on_complete(self) -> None:
-        """Note that the answer is whole."""
+        """Handle the end of a complete response."""
 
     def on_failure(self, failure: Failure, reason: str) -> None:
-        """Note that no whole answer will come."""
+        """Handle a failure: the response will not be completed."""
 
 
 class ClientConnection:
-    """Connection to one address.
+    """HTTP connection to one address, opened by the first request.
 
     Parameters
     ----------
     loop : Loop
         Loop that serves the socket.
     address : Address
-        Where to connect.
-    dead_after_s : float
-        Silence of the peer's kernel after which the connection is given up.
-    connect_s : float
-        Longest wait for the connection.
+        Address of the target.
+    peer_timeout_s : float
+        Time in seconds without an acknowledgement from the peer's kernel after which
+        the connection is closed.
+    connect_timeout_s : float
+        Maximum time in seconds until the connection is established.
     """
 
     def __init__(
-        self, loop: Loop, address: Address, dead_after_s: float, connect_s: float
+        self,
+        loop: Loop,
+        address: Address,
+        peer_timeout_s: float,
+        connect_timeout_s: float,
     ) -> None:
         self.address = address
         self._loop = loop
-        self._dead_after_s = dead_after_s
-        self._connect_s = connect_s
+        self._peer_timeout_s = peer_timeout_s
+        self._connect_timeout_s = connect_timeout_s
         self._sock = None
         self._timer: Timer | None = None
         self._output = bytearray()
@@ -94,7 +103,7 @@
         self._is_connected = False
         self._is_closed = False
         self._has_sent = False
-        self._requests = 0
+        self._request_count = 0
         self._is_reusable = True
         self._is_paused = False
         self._sink: ResponseSink | None = None
@@ -102,20 +111,20 @@
         self._is_head_read = False
         self._is_complete = False
         self._method = "GET"
-        self._received = 0
-        self._handed_on = 0
+        self._received_bytes = 0
+        self._delivered_bytes = 0
         self._parser: httptools.HttpResponseParser | None = None
         self._headers = Headers()
-        #: Boot time at which the connection became idle.
+        #: Boot time in seconds at which the connection became idle.
         self.idle_since = 0.0
-        #: Seconds for which the target keeps it open while idle, if it said so.
+        #: Idle timeout in seconds that the target announced in ``Keep-Alive``, if any.
         self.keep_alive_s: float | None = None
-        #: Called when an idle connection ends.
+        #: Called when the connection closes, also while it is idle.
         self.on_idle_close: Callable[[ClientConnection], None] | None = None
 
     @property
     def is_closed(self) -> bool:
-        """Whether the connection has ended."""
+        """Whether the connection is closed."""
         return self._is_closed
 
     @property
@@ -125,23 +134,23 @@
 
     @property
     def is_reused(self) -> bool:
-        """Whether another request was sent before the present one."""
-        return self._requests > 1
+        """Whether the current request is not the first on this connection."""
+        return self._request_count > 1
 
     @property
     def has_sent(self) -> bool:
-        """Whether a byte of the present request has left this process."""
+        """Whether a byte of the current request has been written to the socket."""
         return self._has_sent
 
     def send(self, request: HttpRequest, sink: ResponseSink) -> None:
-        """Send a request; `sink` hears of the answer, never during this call."""
+        """Send a request; `sink` is called back later, never during this call."""
         self._sink = sink
-        self._requests += 1
+        self._request_count += 1
         self._has_sent = False
         self._is_skipping = False
-        self._received = self._handed_on = 0
+        self._received_bytes = self._delivered_bytes = 0
         self._method = request.method
-        self._new_parser()
+        self._reset_parser()
         self._output += request.encode()
         if self._sock is None:
             self._loop.call_soon(self._connect)
@@ -154,31 +163,33 @@
         self._watch()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read after `pause`."""
         self._is_paused = False
         self._watch()
 
     def close(self) -> None:
-        """End the connection; the sink hears nothing more."""
+        """Close the connection without a further call of the sink."""
         self._sink = None
         self._close()
 
     def _connect(self) -> None:
         if self._is_closed:
             return
-        self._timer = self._loop.call_later(self._connect_s, self._connect_timed_out)
+        self._timer = self._loop.call_later(
+            self._connect_timeout_s, self._on_connect_timeout
+        )
         try:
-            self._sock = connect(self.address, self._dead_after_s)
+            self._sock = connect(self.address, self._peer_timeout_s)
         except OSError as error:
             self._fail(f"connect failed: {error}")
             return
         self._watch()
 
-    def _connect_timed_out(self) -> None:
+    def _on_connect_timeout(self) -> None:
         if not self._is_connected:
-            self._fail(f"not connected within {self._connect_s:g} s")
+            self._fail(f"not connected within {self._connect_timeout_s:g} s")
 
-    def _new_parser(self) -> None:
+    def _reset_parser(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._headers = Headers()
         self._is_head_read = False
@@ -202,7 +213,7 @@
             pass
         except OSError as error:
             if self._is_connected:
-                # The answer may have come before the target stopped reading.
+                # The target may have sent its response before it stopped reading.
                 self._receive()
             self._fail(f"send failed: {error}")
             return
@@ -231,9 +242,9 @@
             self._fail(f"reset: {error}")
             return
         if not data:
-            self._end_of_input()
+            self._on_eof()
         elif self._sink is None:
-            # Bytes without a request are no answer to anything.
+            # No request is outstanding, so these bytes cannot be a response.
             self._close()
         else:
             self._feed(data)
@@ -251,18 +262,18 @@
                     self._is_reusable = False
                     self._fail(f"no HTTP answer: {error}")
                     return
-            self._received += len(data)
+            self._received_bytes += len(data)
             data = b""
             if self._is_complete:
-                self._message_ended()
-            elif self._received > MAX_OVERHEAD_BYTES + 2 * self._handed_on:
+                self._finish_exchange()
+            elif self._received_bytes > MAX_OVERHEAD_BYTES + 2 * self._delivered_bytes:
                 self._is_reusable = False
-                self._fail(f"no whole answer in {self._received} bytes")
+                self._fail(f"no whole answer in {self._received_bytes} bytes")
 
-    def _end_of_input(self) -> None:
+    def _on_eof(self) -> None:
         sink = self._sink
-        is_by_close = self._is_head_read and not self._is_delimited
-        if sink is None or not is_by_close or self._is_skipping:
+        is_close_delimited = self._is_head_read and not self._is_delimited
+        if sink is None or not is_close_delimited or self._is_skipping:
             self._fail("closed by the target")
             return
         self._sink = None
@@ -272,17 +283,17 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin an answer; a second one in the same piece is noted as odd."""
+        """Prevent reuse if another response begins after the complete one."""
         if self._is_complete:
             self._is_reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header."""
         if not self._is_complete:
             self._headers.add(name.decode("latin-1"), value.decode("latin-1").strip())
 
     def on_headers_complete(self) -> None:
-        """Hand the head on, unless it is an interim one."""
+        """Pass the head to the sink, unless the response is interim (1xx)."""
         if self._is_complete or self._parser.get_status_code() < 200:
             return
         headers = self._headers
@@ -301,26 +312,26 @@
             self._is_reusable = False
 
     def on_body(self, data: bytes) -> None:
-        """Hand a part of the body on."""
+        """Pass a part of the body to the sink."""
         if self._is_complete or self._is_skipping or self._sink is None:
             return
-        self._handed_on += len(data)
+        self._delivered_bytes += len(data)
         self._sink.on_body(data)
 
     def on_message_complete(self) -> None:
-        """Note the end of an answer; interim and skipped ones do not count."""
+        """Handle the end of a response; interim and skipped ones do not complete."""
         if self._is_head_read and not self._is_skipping:
             self._is_complete = True
             return
-        # The own answer follows, maybe in the same piece.
+        # The response to the request follows, possibly in the same segment.
         self._headers = Headers()
         self._is_head_read = False
         self._is_skipping = False
 
-    def _message_ended(self) -> None:
+    def _finish_exchange(self) -> None:
         sink, self._sink = self._sink, None
         if self._output:
-            # The target answered before it had read the request.
+            # The target responded before the whole request was sent.
             self._is_reusable = False
         self.idle_since = boot_time()
         if not self._is_reusable:
--- a/berylnotch/net/fetch.py
+++ b/berylnotch/net/fetch.py
@@ -1,4 +1,4 @@
-"""One call on a connection of its own, with its whole answer."""
+"""Single HTTP requests, each on a new connection, with the response in full."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class _Fetch(ResponseSink):
-    """Collects one whole answer."""
+    """Collects one response and reports it or the failure."""
 
     def __init__(
         self,
         connection: ClientConnection,
         max_bytes: int,
-        done: Callable[[HttpResponse | None, str], None],
+        on_done: Callable[[HttpResponse | None, str], None],
     ) -> None:
         self._connection = connection
         self._max_bytes = max_bytes
-        self._done = done
+        self._on_done = on_done
         self._head: ResponseHead | None = None
         self._body = bytearray()
-        self._is_over = False
+        self._is_finished = False
 
     def on_head(self, head: ResponseHead) -> bool:
         self._head = head
@@ -51,12 +51,12 @@
         self.finish(None, reason)
 
     def finish(self, response: HttpResponse | None, reason: str) -> None:
-        """Report the result once, and close."""
-        if self._is_over:
+        """Close the connection and report the result; further calls do nothing."""
+        if self._is_finished:
             return
-        self._is_over = True
+        self._is_finished = True
         self._connection.close()
-        self._done(response, reason)
+        self._on_done(response, reason)
 
 
 def fetch(
@@ -64,28 +64,29 @@
     address: Address,
     request: HttpRequest,
     timeout_s: float,
-    done: Callable[[HttpResponse | None, str], None],
+    on_done: Callable[[HttpResponse | None, str], None],
     max_bytes: int = 4 * 1024 * 1024,
 ) -> None:
-    """Send a request on a connection of its own and collect the answer.
+    """Send a request on a new connection and collect the response.
 
     Parameters
     ----------
     loop : Loop
         Loop that serves the socket.
     address : Address
-        Where to connect.
+        Address of the server.
     request : HttpRequest
-        What to send.
+        Request to send.
     timeout_s : float
-        Time for the whole exchange.
-    done : callable
-        Gets the answer, or None and the reason why there is none.
+        Time limit of the whole exchange in seconds.
+    on_done : callable
+        Called once with the response and an empty string, or with None and the reason
+        of the failure.
     max_bytes : int, default=4 MiB
-        Largest body.
+        Maximum size of the response body in bytes.
     """
     connection = ClientConnection(loop, address, timeout_s, timeout_s)
-    sink = _Fetch(connection, max_bytes, done)
+    sink = _Fetch(connection, max_bytes, on_done)
     connection.send(request, sink)
     loop.call_later(
         timeout_s, lambda: sink.finish(None, f"no answer in {timeout_s:g} s")
--- a/berylnotch/net/messages.py
+++ b/berylnotch/net/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages: headers, requests and heads of answers."""
+"""HTTP messages: headers, requests and responses."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from attrs import define, field, frozen
 
-#: Headers that concern one connection only, in lower case.
+#: Hop-by-hop headers, in lower case; a proxy does not forward them.
 HOP_HEADERS = frozenset(
     (
         "connection",
@@ -25,12 +25,12 @@
 
 
 class Headers:
-    """Names and values of a message's headers, in order; names ignore case.
+    """Ordered headers of a message; names are case-insensitive.
 
     Parameters
     ----------
     pairs : iterable of (str, str), default=()
-        Names and values as they stand in the message.
+        Names and values in the order of the message.
     """
 
     __slots__ = ("_pairs",)
@@ -49,20 +49,23 @@
         self._pairs.append((name, value))
 
     def get(self, name: str, default: str = "") -> str:
-        """Return the first value of a header."""
+        """Return the first value of a header, or `default` if it is absent."""
         name = name.lower()
-        for known, value in self._pairs:
-            if known.lower() == name:
+        for header_name, value in self._pairs:
+            if header_name.lower() == name:
                 return value
         return default
 
     def count(self, name: str) -> int:
-        """Return how often a header stands in the message."""
+        """Return how often a header occurs in the message."""
         name = name.lower()
-        return sum(known.lower() == name for known, _ in self._pairs)
+        return sum(header_name.lower() == name for header_name, _ in self._pairs)
 
     def end_to_end(self) -> Headers:
-        """Return the headers that do not concern one connection only."""
+        """Return the end-to-end headers.
+
+        Hop-by-hop headers and those that ``Connection`` names are left out.
+        """
         dropped = set(HOP_HEADERS)
         for name, value in self._pairs:
             if name.lower() == "connection":
@@ -70,21 +73,21 @@
         return Headers(p for p in self._pairs if p[0].lower() not in dropped)
 
     def without(self, names: Iterable[str]) -> Headers:
-        """Return the headers other than those with these lower-case names."""
+        """Return the headers except those with the given lower-case names."""
         dropped = frozenset(names)
         return Headers(p for p in self._pairs if p[0].lower() not in dropped)
 
     def encode(self) -> bytes:
-        """Return the header lines, each with its line end."""
+        """Return the header lines, each with its CRLF."""
         text = "".join(f"{name}: {value}\r\n" for name, value in self._pairs)
         return text.encode("latin-1")
 
 
 @define
 class HttpRequest:
-    """A request that was read in full.
+    """A complete request.
 
-    ``received_at`` is when its first byte was read, in seconds of the boot clock.
+    ``received_at`` is the boot time in seconds at which its first byte was read.
     """
 
     method: str
@@ -96,16 +99,16 @@
 
     @property
     def path(self) -> str:
-        """Target without its query."""
+        """Request target without its query."""
         return self.target.partition("?")[0]
 
     @property
     def query(self) -> str:
-        """Query of the target, without the question mark."""
+        """Query of the request target, without the question mark."""
         return self.target.partition("?")[2]
 
     def encode(self) -> bytes:
-        """Return the bytes of the request; the body's length is added."""
+        """Return the bytes of the request, with ``Content-Length`` added."""
         head = f"{self.method} {self.target} HTTP/1.1\r\n".encode("latin-1")
         length = b""
         if self.body or self.method not in ("GET", "HEAD", "DELETE"):
@@ -115,7 +118,7 @@
 
 @frozen
 class HttpResponse:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers = field(factory=Headers)
@@ -123,7 +126,7 @@
 
 
 def encode_head(status: int, headers: Headers) -> bytes:
-    """Return the status line and headers of an answer, with the empty line."""
+    """Return the status line, the headers and the empty line of a response."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
--- a/berylnotch/net/reading.py
+++ b/berylnotch/net/reading.py
@@ -1,4 +1,8 @@
-"""Reads requests from a caller's bytes, and refuses what is no single request."""
+"""Incremental parser of HTTP requests that refuses malformed or ambiguous ones.
+
+Ambiguous framing, such as two lengths, is refused so that no request can be smuggled
+inside another.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 
 @frozen
 class HttpLimits:
-    """What a caller may send, and how long it may take; times in seconds."""
+    """Limits on the size, in bytes, and the duration, in seconds, of a request."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -22,7 +26,7 @@
 
 
 class UnreadableRequestError(RequestError):
-    """A request that is answered without being read further."""
+    """A request that is refused with ``status`` before it is read in full."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -31,53 +35,53 @@
 
 
 class RequestReader:
-    """Turns bytes into requests, one at a time.
+    """Parses one request at a time from the bytes of a connection.
 
     Parameters
     ----------
     limits : callable
-        Returns the limits in force.
+        Returns the current limits.
     """
 
     def __init__(self, limits: Callable[[], HttpLimits]) -> None:
         self._limits = limits
         self._parser = httptools.HttpRequestParser(self)
-        #: Bytes that follow the request.
-        self.ahead = bytearray()
+        #: Bytes received after the end of the request, not parsed yet.
+        self.pipelined = bytearray()
         self.reset()
 
     @property
-    def begun_at(self) -> float:
-        """When the first byte of the present request came, 0 if none did."""
-        return self._begun_at
+    def started_at(self) -> float:
+        """Boot time of the first byte of the current request; 0 without one."""
+        return self._started_at
 
     @property
     def is_head_read(self) -> bool:
-        """Whether the headers of the present request are complete."""
+        """Whether the headers of the current request are complete."""
         return self._is_head_read
 
     @property
-    def body_size(self) -> int:
-        """Bytes of the present request's body that came so far."""
+    def received_body_bytes(self) -> int:
+        """Number of body bytes of the current request received so far."""
         return len(self._body)
 
     @property
-    def wants_continue(self) -> bool:
-        """Whether the caller waits for a sign to send the body."""
+    def expects_continue(self) -> bool:
+        """Whether the caller expects ``100 Continue`` before it sends the body."""
         return self._is_head_read and (
             self._headers.get("Expect").lower() == "100-continue"
         )
 
     def feed(self, now: float, data: bytes) -> HttpRequest | None:
-        """Take bytes; return a request once it is complete.
+        """Parse received bytes; return the request once it is complete.
 
         Raises
         ------
         UnreadableRequestError
-            If the bytes are no single request within the limits.
+            If the request is malformed, ambiguous or over the limits.
         """
-        if not self._begun_at:
-            self._begun_at = now
+        if not self._started_at:
+            self._started_at = now
         try:
             self._parse(data)
         except httptools.HttpParserUpgrade as error:
@@ -89,26 +93,26 @@
             raise UnreadableRequestError(400, f"unreadable: {cause!r}") from error
         except httptools.HttpParserError as error:
             raise UnreadableRequestError(400, f"unreadable: {error}") from error
-        return self._take() if self._complete else None
+        return self._take_request() if self._is_complete else None
 
     def reset(self) -> None:
-        """Forget a request that is not complete."""
+        """Discard the current request and prepare for the next."""
         self._url = b""
         self._headers = Headers()
         self._body = bytearray()
         self._is_head_read = False
-        self._complete = False
-        self._begun_at = 0.0
-        self._head_size = 0
-        self._tail = b""
+        self._is_complete = False
+        self._started_at = 0.0
+        self._head_bytes = 0
+        self._head_tail = b""
 
-    def _take(self) -> HttpRequest:
+    def _take_request(self) -> HttpRequest:
         request = HttpRequest(
             method=self._parser.get_method().decode("latin-1"),
             target=self._url.decode("latin-1"),
             headers=self._headers,
             body=bytes(self._body),
-            received_at=self._begun_at,
+            received_at=self._started_at,
             keep_alive=self._parser.should_keep_alive(),
         )
         self.reset()
@@ -117,84 +121,89 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
-        if self._complete:
-            # A pipelined request; it is parsed again once its turn comes.
-            raise UnreadableRequestError(400, "more than one request in a piece")
+        """Refuse a second request in the bytes given to the parser."""
+        if self._is_complete:
+            # A pipelined request is buffered and parsed after the current one is
+            # answered. It only gets here if the end of a chunked body was not found,
+            # for example because trailers follow the last chunk.
+            raise UnreadableRequestError(
+                400, "second request before the end of the first"
+            )
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header; refuse control characters in its value."""
         text = value.decode("latin-1").strip()
         if any(char < " " and char != "\t" for char in text):
-            raise UnreadableRequestError(400, "control character in a header")
+            raise UnreadableRequestError(400, "control character in a header value")
         self._headers.add(name.decode("latin-1"), text)
 
     def on_headers_complete(self) -> None:
-        """Check what the headers announce."""
+        """Check the ``Host`` header, the framing and the announced length."""
         self._is_head_read = True
         limits = self._limits()
         headers = self._headers
         if headers.count("Host") != 1:
-            raise UnreadableRequestError(400, "a request needs one Host header")
+            raise UnreadableRequestError(400, "request without exactly one Host header")
         if headers.count("Content-Length") > 1:
-            raise UnreadableRequestError(400, "more than one Content-Length")
+            raise UnreadableRequestError(400, "more than one Content-Length header")
         if headers.get("Content-Length") and headers.get("Transfer-Encoding"):
             raise UnreadableRequestError(
-                400, "both Content-Length and Transfer-Encoding"
+                400, "both Content-Length and Transfer-Encoding headers"
             )
         length = headers.get("Content-Length")
         if length.isdecimal() and int(length) > limits.body_bytes:
             raise UnreadableRequestError(413, "body too large")
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body; refuse a body over the limit."""
         self._body += body
         if len(self._body) > self._limits().body_bytes:
             raise UnreadableRequestError(413, "body too large")
 
     def on_message_complete(self) -> None:
-        """End the request."""
-        self._complete = True
+        """Mark the request as complete."""
+        self._is_complete = True
 
     def _parse(self, data: bytes) -> None:
-        # A head is given to the parser without what follows it, so that a second
-        # request in the same piece is not read before the first was answered.
+        # The parser gets the head and the body in separate calls and no byte beyond the
+        # request, so that a pipelined request is not parsed before the first one is
+        # answered.
         view = memoryview(data)
-        while len(view) and not self._complete:
+        while len(view) and not self._is_complete:
             if self._is_head_read:
-                taken = self._body_part(view)
+                size = self._count_body_bytes(view)
             else:
-                taken = self._head_part(bytes(view))
-            self._parser.feed_data(view[:taken])
-            view = view[taken:]
+                size = self._count_head_bytes(bytes(view))
+            self._parser.feed_data(view[:size])
+            view = view[size:]
         if len(view):
-            self.ahead += view
+            self.pipelined += view
 
-    def _head_part(self, data: bytes) -> int:
-        # The empty line may have begun in the piece before.
+    def _count_head_bytes(self, data: bytes) -> int:
+        # The empty line may have begun in the previous segment.
         starts = [end for end in (1, 2) if self._ends_head(data[:end])]
         end = data.find(b"\n\r\n")
         if starts:
-            taken = starts[0]
+            size = starts[0]
         else:
-            taken = end + 3 if end >= 0 else len(data)
-        self._head_size += taken
-        self._tail = (self._tail + data[:taken])[-3:]
-        if self._head_size > self._limits().header_bytes:
+            size = end + 3 if end >= 0 else len(data)
+        self._head_bytes += size
+        self._head_tail = (self._head_tail + data[:size])[-3:]
+        if self._head_bytes > self._limits().header_bytes:
             raise UnreadableRequestError(431, "headers too large")
-        return taken
+        return size
 
     def _ends_head(self, start: bytes) -> bool:
-        return bool(self._tail) and (self._tail + start).endswith(b"\n\r\n")
+        return bool(self._head_tail) and (self._head_tail + start).endswith(b"\n\r\n")
 
-    def _body_part(self, view: memoryview) -> int:
+    def _count_body_bytes(self, view: memoryview) -> int:
         length = self._headers.get("Content-Length")
         if length.isdecimal():
             return min(len(view), int(length) - len(self._body))
-        # A chunked body is followed piece by piece, up to its last chunk.
+        # A chunked body has no known length; it is searched for its last chunk.
         end = bytes(view).find(b"\n0\r\n\r\n")
         return end + 6 if end >= 0 else len(view)
--- a/berylnotch/net/server.py
+++ b/berylnotch/net/server.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 server: reads requests of callers and writes answers.
+"""HTTP/1.1 server for callers.
 
-One request of a connection is served at a time. Bytes that a caller sends
-meanwhile wait, and its close is seen at once.
+A connection serves one request at a time. Bytes that a caller sends meanwhile are
+buffered, and a close by the caller is detected at once.
 """
 
 from __future__ import annotations
@@ -19,34 +19,38 @@
 
 _READ_BYTES = 64 * 1024
 
-#: Output that may wait for a slow caller before its source is paused, in bytes.
+#: Unsent output of a slow caller, in bytes, above which its source should pause.
 HIGH_WATER_BYTES = 256 * 1024
 
-#: Bytes of a following request that are read while one is served.
-_MAX_AHEAD_BYTES = 64 * 1024
+#: Maximum number of bytes of pipelined requests that are buffered while a request is
+#: served.
+_MAX_PIPELINED_BYTES = 64 * 1024
 
-#: Seconds for which a refused caller's bytes are still read, so that the answer
-#: is not lost to a reset.
+#: Time in seconds for which input is read and discarded before a connection is closed.
+#: An immediate close with unread input would reset the connection, and the caller could
+#: lose the response.
 _LINGER_S = 1.0
 
-#: Bytes a second that a caller sends and reads at the least; who is slower for longer
-#: than the idle time is given up.
+#: Minimum rate, in bytes per second, at which a caller has to send a request and read a
+#: response. A caller that is behind this rate by more than the idle time is
+#: disconnected.
 _MIN_BYTES_PER_S = 1024.0
 
-#: Seconds between two searches for connections that are over their limits.
-_SWEEP_S = 0.5
+#: Seconds between two checks of all connections for exceeded time limits.
+_LIMIT_CHECK_INTERVAL_S = 0.5
 
-#: Connections of callers at once; the rest of the descriptors serves targets.
+#: Maximum number of callers' connections; the remaining file descriptors are for
+#: connections to targets.
 _MAX_CONNECTIONS = 3000
 
 
 class ServerConnection:
-    """Connection of one caller.
+    """Connection from one caller.
 
     Parameters
     ----------
     server : HttpServer
-        Server that accepted it.
+        Server that accepted the connection.
     sock : socket.socket
         Non-blocking socket.
     """
@@ -59,42 +63,42 @@
         self._output = bytearray()
         self._is_closed = False
         self._is_lingering = False
-        self._close_after = False
+        self._close_after_stream = False
         self._is_reading = True
         self._events = 0
-        #: Request being served, or None.
+        #: Request that is being served, or None.
         self.request: HttpRequest | None = None
-        self._active_at = boot_time()
-        #: Bytes of an ended answer that the caller had yet to read.
-        self._answer_bytes = 0
-        #: Called once if the caller leaves while its request is served.
+        self._last_active_at = boot_time()
+        #: Unsent bytes at the end of the last response; they extend its time limit.
+        self._backlog_bytes = 0
+        #: Called once if the caller disconnects while its request is served.
         self.on_gone: Callable[[], None] | None = None
-        #: Called when waiting output has been sent.
+        #: Called when all buffered output has been sent.
         self.on_drained: Callable[[], None] | None = None
 
     @property
     def is_closed(self) -> bool:
-        """Whether the connection has ended."""
+        """Whether the connection is closed."""
         return self._is_closed
 
     @property
     def is_congested(self) -> bool:
-        """Whether so much output waits that its source should pause."""
+        """Whether the source of the output should pause, for backpressure."""
         return len(self._output) > HIGH_WATER_BYTES
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is being read, served or answered."""
-        return self.request is None and not self._reader.begun_at and not self._output
+        """Whether no request is being read or served and all output is sent."""
+        return self.request is None and not self._reader.started_at and not self._output
 
     def start(self) -> None:
-        """Serve the socket."""
+        """Register the socket with the loop."""
         self._watch()
 
     def respond(
         self, status: int, headers: Headers, body: bytes = b"", close: bool = False
     ) -> None:
-        """Send a whole answer to the present request."""
+        """Send a complete response to the current request."""
         if self._is_closed:
             return
         close = close or self._must_close
@@ -109,18 +113,18 @@
         self._finish(close)
 
     def start_stream(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the head of a response whose body follows in chunks."""
         if self._is_closed:
             return
-        self._close_after = self._must_close
+        self._close_after_stream = self._must_close
         headers.add("Transfer-Encoding", "chunked")
-        if self._close_after:
+        if self._close_after_stream:
             headers.add("Connection", "close")
         self._output += encode_head(status, headers)
         self._flush()
 
     def send_piece(self, data: bytes) -> None:
-        """Send a piece of a streamed body."""
+        """Send a chunk of a streamed body."""
         if self._is_closed or not data:
             return
         self._output += b"%x\r\n" % len(data)
@@ -129,35 +133,35 @@
         self._flush()
 
     def end_stream(self) -> None:
-        """Mark a streamed body as complete."""
+        """Send the last chunk of a streamed body."""
         if self._is_closed:
             return
         self._output += b"0\r\n\r\n"
-        self._finish(self._close_after)
+        self._finish(self._close_after_stream)
 
     def abort(self) -> None:
-        """End the connection; what was sent of an answer stays incomplete."""
+        """Close the connection; a response in progress stays incomplete."""
         self.on_gone = None
         self._close()
 
     def check_limits(self, now: float) -> None:
-        """Refuse a request that is read too slowly; close if idle for too long."""
+        """Refuse a request that arrives too slowly; close if idle for too long."""
         if self._is_closed or self.request is not None or self._is_lingering:
             return
         limits = self._server.limits()
-        if self._reader.begun_at and not self._reader.is_head_read:
-            if now - self._reader.begun_at > limits.header_s:
-                self._refuse(408, "headers took too long")
-        elif self._reader.begun_at:
-            received_s = self._reader.body_size / _MIN_BYTES_PER_S
-            is_slow = now - self._reader.begun_at > limits.idle_s + received_s
-            if is_slow or now - self._active_at > limits.idle_s:
+        if self._reader.started_at and not self._reader.is_head_read:
+            if now - self._reader.started_at > limits.header_s:
+                self._refuse(408, "headers not received in time")
+        elif self._reader.started_at:
+            max_transfer_s = self._reader.received_body_bytes / _MIN_BYTES_PER_S
+            is_slow = now - self._reader.started_at > limits.idle_s + max_transfer_s
+            if is_slow or now - self._last_active_at > limits.idle_s:
                 self._refuse(408, "body took too long")
         elif self._output:
-            allowed_s = limits.idle_s + self._answer_bytes / _MIN_BYTES_PER_S
-            if now - self._active_at > allowed_s:
+            allowed_s = limits.idle_s + self._backlog_bytes / _MIN_BYTES_PER_S
+            if now - self._last_active_at > allowed_s:
                 self._close()
-        elif now - self._active_at > limits.idle_s:
+        elif now - self._last_active_at > limits.idle_s:
             self._close()
 
     def close_if_idle(self) -> None:
@@ -185,8 +189,8 @@
         elif self._is_lingering:
             return
         elif self.request is not None:
-            self._reader.ahead += data
-            if len(self._reader.ahead) > _MAX_AHEAD_BYTES:
+            self._reader.pipelined += data
+            if len(self._reader.pipelined) > _MAX_PIPELINED_BYTES:
                 self._is_reading = False
                 self._watch()
         else:
@@ -194,8 +198,8 @@
 
     def _feed(self, data: bytes) -> None:
         now = boot_time()
-        self._active_at = now
-        had_head = self._reader.is_head_read
+        self._last_active_at = now
+        was_head_read = self._reader.is_head_read
         try:
             request = self._reader.feed(now, data)
         except UnreadableRequestError as error:
@@ -204,7 +208,7 @@
         if request is not None:
             self.request = request
             self._server.handler(self, request)
-        elif self._reader.wants_continue and not had_head:
+        elif self._reader.expects_continue and not was_head_read:
             self._output += b"HTTP/1.1 100 Continue\r\n\r\n"
             self._flush()
 
@@ -226,22 +230,22 @@
         self.request = None
         self.on_gone = None
         self.on_drained = None
-        self._active_at = boot_time()
-        self._answer_bytes = len(self._output)
+        self._last_active_at = boot_time()
+        self._backlog_bytes = len(self._output)
         self._is_reading = True
         if close:
             self._is_lingering = True
-            self._reader.ahead.clear()
+            self._reader.pipelined.clear()
             self._loop.call_later(_LINGER_S, self._close)
         self._flush()
-        if not close and not self._is_closed and self._reader.ahead:
-            self._loop.call_soon(self._feed_ahead)
+        if not close and not self._is_closed and self._reader.pipelined:
+            self._loop.call_soon(self._feed_pipelined)
 
-    def _feed_ahead(self) -> None:
-        if self._is_closed or self.request is not None or not self._reader.ahead:
+    def _feed_pipelined(self) -> None:
+        if self._is_closed or self.request is not None or not self._reader.pipelined:
             return
-        data = bytes(self._reader.ahead)
-        self._reader.ahead.clear()
+        data = bytes(self._reader.pipelined)
+        self._reader.pipelined.clear()
         self._feed(data)
 
     def _flush(self) -> None:
@@ -283,31 +287,32 @@
         self._is_closed = True
         self._loop.watch(self._sock, 0, self._on_ready)
         self._sock.close()
-        self._server.forget(self)
+        self._server.remove(self)
         on_gone, self.on_gone = self.on_gone, None
         if on_gone is not None:
             on_gone()
 
 
-#: Serves a request; the connection takes the answer.
+#: Serves a request and sends the response on its connection.
 RequestHandler = Callable[[ServerConnection, HttpRequest], None]
 
 
 class HttpServer:
-    """Listening address and the connections of its callers.
+    """HTTP server on one address, with its connections.
 
     Parameters
     ----------
     loop : Loop
         Loop that serves the sockets.
     address : Address
-        Where to listen; port 0 picks a free one.
+        Address to listen on; port 0 selects a free port.
     handler : callable
-        Gets each connection with its request.
+        Called with the connection and each complete request.
     limits : callable
-        Returns the limits in force.
+        Returns the current limits.
     on_refused : callable
-        Gets status and reason of a request refused while it was read.
+        Called with the status and the reason of each request that was refused before
+        it was read in full.
     """
 
     def __init__(
@@ -322,41 +327,41 @@
         self.handler = handler
         self.limits = limits
         self.on_refused = on_refused
-        #: Whether each connection is closed after its present answer.
+        #: Whether each connection is closed after its current response.
         self.is_draining = False
-        #: Boot time at which the newest caller was accepted.
+        #: Boot time in seconds at which the newest connection was accepted.
         self.accepted_at = 0.0
         self._connections: set[ServerConnection] = set()
         self._acceptor = Acceptor(loop, address, self._accept)
 
     @property
     def address(self) -> Address:
-        """Address in use."""
+        """Address that the server listens on, with the actual port."""
         return self._acceptor.address
 
     @property
     def busy_count(self) -> int:
-        """Connections with a request that is not yet answered."""
+        """Number of connections that are not idle."""
         return sum(not connection.is_idle for connection in self._connections)
 
     def start(self) -> None:
-        """Accept callers."""
+        """Start to accept connections."""
         self._acceptor.start()
-        self.loop.call_every(_SWEEP_S, self._sweep)
+        self.loop.call_every(_LIMIT_CHECK_INTERVAL_S, self._check_all_limits)
 
     def close(self) -> None:
-        """Stop accepting and end all connections."""
+        """Stop accepting connections and abort the open ones."""
         self._acceptor.close()
         for connection in tuple(self._connections):
             connection.abort()
 
     def close_idle(self) -> None:
-        """Close the connections without a request."""
+        """Close the idle connections."""
         for connection in tuple(self._connections):
             connection.close_if_idle()
 
-    def forget(self, connection: ServerConnection) -> None:
-        """Drop a connection that has ended."""
+    def remove(self, connection: ServerConnection) -> None:
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def _accept(self, sock: socket.socket) -> None:
@@ -369,7 +374,7 @@
         self._connections.add(connection)
         connection.start()
 
-    def _sweep(self) -> None:
+    def _check_all_limits(self) -> None:
         now = boot_time()
         for connection in tuple(self._connections):
             connection.check_limits(now)
--- a/berylnotch/net/sockets.py
+++ b/berylnotch/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of the event loop: listening, connecting, options."""
+"""Non-blocking TCP sockets: listening, connecting and keep-alive options."""
 
 from __future__ import annotations
 
@@ -9,42 +9,53 @@
 from berylnotch.util.address import Address
 from berylnotch.util.loop import Loop
 
-#: Connections that may wait to be accepted.
+#: Maximum number of established connections that wait to be accepted.
 BACKLOG = 512
 
-#: Connections accepted before other sockets get their turn.
-_ACCEPTS_AT_ONCE = 32
+#: Maximum number of connections accepted per readiness event, so that a burst does not
+#: delay other sockets.
+_MAX_ACCEPTS_PER_EVENT = 32
 
-#: Seconds without traffic after which the kernel asks whether the peer is there,
-#: and seconds between two such questions.
-_KEEPALIVE_S = 1
+#: Idle time in seconds before the first TCP keep-alive probe, and interval in seconds
+#: between probes.
+_KEEPALIVE_INTERVAL_S = 1
 
-#: Unanswered questions after which the kernel ends a connection.
+#: Number of unanswered keep-alive probes after which the kernel ends a connection.
 _KEEPALIVE_PROBES = 2
 
 
 def detect_dead_peer(sock: socket.socket, timeout_s: float) -> None:
-    """Let the kernel end a connection whose peer fell silent for this long."""
+    """Let the kernel end the connection if the peer does not acknowledge in time.
+
+    The socket also sends small segments without delay.
+
+    Parameters
+    ----------
+    sock : socket.socket
+        TCP socket.
+    timeout_s : float
+        Maximum time in seconds for which sent data may stay unacknowledged.
+    """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(timeout_s * 1000))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
 
 
-def connect(address: Address, dead_after_s: float) -> socket.socket:
-    """Return a non-blocking socket that begins to connect.
+def connect(address: Address, peer_timeout_s: float) -> socket.socket:
+    """Return a non-blocking socket whose connection is being established.
 
     Raises
     ------
     OSError
-        If the connection failed at once.
+        If the connection attempt failed immediately.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     try:
-        detect_dead_peer(sock, dead_after_s)
+        detect_dead_peer(sock, peer_timeout_s)
         sock.connect(address.pair)
     except BlockingIOError:
         return sock
@@ -55,16 +66,16 @@
 
 
 class Acceptor:
-    """Listening socket that hands each accepted connection on.
+    """Listening socket that passes each accepted connection to a callback.
 
     Parameters
     ----------
     loop : Loop
         Loop that serves the socket.
     address : Address
-        Where to listen; port 0 picks a free one.
+        Address to listen on; port 0 selects a free port.
     on_accept : callable
-        Gets each accepted, non-blocking socket.
+        Called with each accepted socket, which is non-blocking.
     """
 
     def __init__(
@@ -81,12 +92,12 @@
 
     @property
     def address(self) -> Address:
-        """Address in use."""
+        """Address that the socket listens on, with the actual port."""
         host, port = self._sock.getsockname()
         return Address(host, port)
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self._is_open = True
         self._loop.watch(self._sock, selectors.EVENT_READ, self._accept)
 
@@ -98,7 +109,7 @@
         self._sock.close()
 
     def _accept(self, _events: int) -> None:
-        for _ in range(_ACCEPTS_AT_ONCE):
+        for _ in range(_MAX_ACCEPTS_PER_EVENT):
             try:
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
--- a/berylnotch/transport/__init__.py
+++ b/berylnotch/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Authenticated framed messages between the system's processes."""
+"""Framed messages between the system's processes, with and without authentication."""
--- a/berylnotch/transport/berylnotch.capnp
+++ b/berylnotch/transport/berylnotch.capnp
@@ -1,6 +1,7 @@
 @0xd6b1c5a9e3f47a21;
 # Messages between the system's processes, and records on disk.
-# Fields and members are only ever added at the end.
+# New fields and union members are added at the end only, so that peers and stored
+# records of other versions stay readable.
 
 struct Body {
   union {
--- a/berylnotch/transport/channel.py
+++ b/berylnotch/transport/channel.py
@@ -1,4 +1,4 @@
-"""A connection in an event loop: session, socket, calls and answers."""
+"""Connection on the event loop that matches replies with requests."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
     from berylnotch.transport.plain import PlainSession
     from berylnotch.transport.session import Session
 
-#: Sends the answer to a request.
+#: Sends the reply to a request.
 Reply = Callable[[object], None]
 
-#: Takes the identity of the other side, its message and a way to answer.
+#: Handles a message; called with the identity of the peer, the message and a function
+#: that sends the reply.
 Handler = Callable[[str, Any, Reply], None]
 
-#: Bytes that may wait for a slow receiver before the connection is dropped.
+#: Unsent output, in bytes, above which the connection to a slow receiver is closed.
 _MAX_OUTPUT_BYTES = 32 * 1024 * 1024
 _READ_BYTES = 256 * 1024
 
 
-class _Call:
-    """A request that waits for its answer."""
+class _PendingCall:
+    """Request that waits for its reply."""
 
     __slots__ = ("future", "timer")
 
@@ -38,7 +39,7 @@
 
 
 class Channel:
-    """One open connection; every method runs in the loop's thread.
+    """Connection to a peer; every method has to be called in the loop's thread.
 
     Parameters
     ----------
@@ -47,11 +48,11 @@
     sock : socket.socket
         Connected or connecting non-blocking socket.
     session : Session
-        Handshake and framing.
+        Handshake and framing of the connection.
     handler : callable
-        Gets the messages that are no answers.
+        Called with each message that is not a reply.
     on_close : callable
-        Called once with the reason when the connection ends.
+        Called once with the channel and the reason when the connection ends.
     """
 
     def __init__(
@@ -68,71 +69,73 @@
         self._handler = handler
         self._on_close = on_close
         self._output = bytearray()
-        self._waiting: list[tuple[int, bool, object]] = []
-        self._calls: dict[int, _Call] = {}
-        self._next_call = 1
-        self._closed = False
+        self._queued: list[tuple[int, bool, object]] = []
+        self._pending_calls: dict[int, _PendingCall] = {}
+        self._next_call_id = 1
+        self._is_closed = False
         self._has_sent = False
 
     @property
     def has_sent(self) -> bool:
-        """Whether a byte has left this process, so the socket was connected."""
+        """Whether a byte has been sent, which shows that the socket was connected."""
         return self._has_sent
 
     @property
     def is_closed(self) -> bool:
-        """Whether the connection has ended."""
-        return self._closed
+        """Whether the connection is closed."""
+        return self._is_closed
 
     @property
     def is_open(self) -> bool:
-        """Whether both sides have proved who they are."""
-        return self._session.is_open and not self._closed
+        """Whether the handshake is complete and the connection is not closed."""
+        return self._session.is_open and not self._is_closed
 
     def start(self) -> None:
-        """Serve the socket."""
+        """Register the socket with the loop."""
         self._flush()
 
     def close(self, reason: str = "closed") -> None:
-        """End the connection; requests without an answer fail."""
-        if self._closed:
+        """Close the connection; requests without a reply fail with `reason`."""
+        if self._is_closed:
             return
-        self._closed = True
+        self._is_closed = True
         self._loop.watch(self._sock, 0, self._on_ready)
         self._sock.close()
-        calls, self._calls = self._calls, {}
-        for call in calls.values():
+        pending_calls, self._pending_calls = self._pending_calls, {}
+        for call in pending_calls.values():
             call.timer.cancel()
             call.future.set_exception(ConnectionLostError(reason))
         self._on_close(self, reason)
 
     def send(self, message: object) -> None:
         """Send a one-way message."""
-        self._queue(0, False, message)
+        self._send_or_queue(0, False, message)
 
     def call(self, message: object, timeout_s: float, future: Future[Any]) -> None:
-        """Send a request; ``future`` gets the answer or a `TransportError`."""
-        if self._closed:
+        """Send a request; ``future`` gets the reply or a `TransportError`."""
+        if self._is_closed:
             future.set_exception(ConnectionLostError("connection is closed"))
             return
-        number = self._next_call
-        self._next_call += 1
-        timer = self._loop.call_later(timeout_s, lambda: self._expire(number))
-        self._calls[number] = _Call(future, timer)
-        self._queue(number, False, message)
-
-    def _expire(self, number: int) -> None:
-        call = self._calls.pop(number, None)
+        call_id = self._next_call_id
+        self._next_call_id += 1
+        timer = self._loop.call_later(timeout_s, lambda: self._expire_call(call_id))
+        self._pending_calls[call_id] = _PendingCall(future, timer)
+        self._send_or_queue(call_id, False, message)
+
+    def _expire_call(self, call_id: int) -> None:
+        call = self._pending_calls.pop(call_id, None)
         if call is not None:
-            call.future.set_exception(CallTimeoutError("no answer in time"))
+            call.future.set_exception(
+                CallTimeoutError("no reply within the time limit")
+            )
 
-    def _queue(self, call: int, reply: bool, message: object) -> None:
-        if self._closed:
+    def _send_or_queue(self, call_id: int, is_reply: bool, message: object) -> None:
+        if self._is_closed:
             return
         if not self._session.is_open:
-            self._waiting.append((call, reply, message))
+            self._queued.append((call_id, is_reply, message))
             return
-        self._session.send(call, reply, message)
+        self._session.send(call_id, is_reply, message)
         self._flush()
 
     def _flush(self) -> None:
@@ -148,7 +151,7 @@
             self.close(f"send failed: {error}")
             return
         if len(self._output) > _MAX_OUTPUT_BYTES:
-            self.close("receiver too slow")
+            self.close("unsent output over the limit; the receiver is too slow")
             return
         events = selectors.EVENT_READ
         if self._output:
@@ -158,7 +161,7 @@
     def _on_ready(self, events: int) -> None:
         if events & selectors.EVENT_READ:
             self._receive()
-        if events & selectors.EVENT_WRITE and not self._closed:
+        if events & selectors.EVENT_WRITE and not self._is_closed:
             self._flush()
 
     def _receive(self) -> None:
@@ -170,11 +173,11 @@
             self.close(f"receive failed: {error}")
             return
         if not data:
-            self.close("closed by the other side")
+            self.close("closed by the peer")
             return
-        self._take(data)
+        self._feed(data)
 
-    def _take(self, data: bytes) -> None:
+    def _feed(self, data: bytes) -> None:
         was_open = self._session.is_open
         try:
             messages = self._session.feed(data)
@@ -182,29 +185,31 @@
             self.close(str(error))
             return
         if self._session.is_open and not was_open:
-            self._send_waiting()
+            self._send_queued()
         for envelope, message in messages:
             self._dispatch(envelope.call, envelope.reply, message)
-        if not self._closed:
+        if not self._is_closed:
             self._flush()
 
-    def _send_waiting(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        for call, reply, message in waiting:
-            self._session.send(call, reply, message)
+    def _send_queued(self) -> None:
+        queued, self._queued = self._queued, []
+        for call_id, is_reply, message in queued:
+            self._session.send(call_id, is_reply, message)
 
-    def _dispatch(self, number: int, is_reply: bool, message: Any) -> None:
+    def _dispatch(self, call_id: int, is_reply: bool, message: Any) -> None:
         if not is_reply:
-            self._handler(self._session.identity, message, self._replier(number))
+            self._handler(self._session.identity, message, self._make_reply(call_id))
             return
-        call = self._calls.pop(number, None)
+        call = self._pending_calls.pop(call_id, None)
         if call is not None:
             call.timer.cancel()
             call.future.set_result(message)
 
-    def _replier(self, number: int) -> Reply:
+    def _make_reply(self, call_id: int) -> Reply:
         def reply(message: object) -> None:
-            if number:
-                self._loop.call_soon(lambda: self._queue(number, True, message))
+            if call_id:
+                self._loop.call_soon(
+                    lambda: self._send_or_queue(call_id, True, message)
+                )
 
         return reply
--- a/berylnotch/transport/client.py
+++ b/berylnotch/transport/client.py
@@ -1,4 +1,4 @@
-"""Blocking client of the controllers, for the operators' tool."""
+"""Blocking client of the controllers, for the operators' command-line tool."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from berylnotch.transport.peers import Peers
 from berylnotch.util.loop import Loop
 
-#: Seconds between two tries.
-_RETRY_S = 0.2
-#: Seconds after which one try is given up.
-_TRY_S = 15.0
+#: Back-off in seconds after an attempt that named no leader.
+_RETRY_DELAY_S = 0.2
+#: Maximum time in seconds of one attempt.
+_MAX_ATTEMPT_S = 15.0
 
 
 class Client:
-    """Connection to whichever controller leads.
+    """Client that sends requests to the current leader of the controllers.
 
-    A request is repeated until an answer comes or the time is over, so it has
-    to be idempotent: every command carries a change id for that.
+    A request is repeated until a reply arrives or the time limit expires, so it has to
+    be idempotent. Every command carries a change id for this purpose.
 
     Parameters
     ----------
     addresses : tuple of str
-        ``IP:port`` of the controllers, or of one router.
+        Addresses, as ``IP:port``, of the controllers or of one router.
     identity : str
         ``operator/NAME`` or ``vm/NAME``.
     key : bytes
         Key of the identity.
     timeout_s : float, default=10.0
-        Time limit of a call in seconds, over all tries.
+        Time limit of a call in seconds, over all attempts.
     """
 
     def __init__(
@@ -46,88 +46,95 @@
         self._timeout_s = timeout_s
         self._loop = Loop("client")
         self._peers = Peers(self._loop, identity, lambda _identity: key)
-        self._leader = ""
-        self._position = -1
+        self._leader_address = ""
+        self._address_index = -1
 
     @property
     def peers(self) -> Peers:
-        """Connections by address."""
+        """Outgoing connections, also usable for requests to a single process."""
         return self._peers
 
     def start(self) -> None:
-        """Start the client's thread."""
+        """Start the thread of the event loop."""
         self._loop.start()
 
     def close(self) -> None:
-        """End the connections and the thread."""
+        """Close the connections and stop the thread."""
         self._peers.close()
         self._loop.close()
 
     def call(self, message: object, timeout_s: float | None = None) -> Any:
-        """Send a request to the leader and return its answer.
+        """Send a request to the leader and return the reply.
 
         Parameters
         ----------
         message : object
             Request of `berylnotch.control.protocol`.
         timeout_s : float, optional
-            Time limit of this call in seconds.
+            Time limit of this call in seconds, over all attempts. The default is the
+            limit of the client.
 
         Raises
         ------
         RefusedError
-            If the request is wrong.
+            If the request is refused; it is not repeated.
         TransportError
-            If no controller answered in time.
+            If no leader replied within the time limit.
         """
-        limit = self._timeout_s if timeout_s is None else timeout_s
-        deadline = time.monotonic() + limit
-        # A stopped process accepts connections and never answers, so that one
-        # try must leave time for the others.
-        try_s = min(limit / (len(self._addresses) + 1), _TRY_S)
-        failure: TransportError = NotLeaderError("no controllers are named")
+        limit_s = self._timeout_s if timeout_s is None else timeout_s
+        deadline = time.monotonic() + limit_s
+        # The kernel accepts connections for a stopped process that never replies, so
+        # one attempt has to leave time for the other addresses.
+        attempt_timeout_s = min(limit_s / (len(self._addresses) + 1), _MAX_ATTEMPT_S)
+        last_error: TransportError = NotLeaderError(
+            "no address of a controller is configured"
+        )
         while time.monotonic() < deadline and self._addresses:
-            address = self._leader or self._next_address()
+            address = self._leader_address or self._next_address()
             try:
-                return self._try(address, message, deadline, try_s)
+                return self._attempt(address, message, deadline, attempt_timeout_s)
             except RefusedError:
                 raise
             except TransportError as error:
-                failure = error
-            if not self._leader:
-                time.sleep(min(_RETRY_S, max(deadline - time.monotonic(), 0.0)))
-        raise failure
+                last_error = error
+            if not self._leader_address:
+                time.sleep(min(_RETRY_DELAY_S, max(deadline - time.monotonic(), 0.0)))
+        raise last_error
 
     def call_at(self, address: str, message: object, timeout_s: float = 5.0) -> Any:
-        """Send a request to one process and return its answer.
+        """Send a request to one process and return the reply.
 
         Raises
         ------
         TransportError
-            If no answer came in time or it is a refusal.
+            If no reply arrived within the time limit or the request was refused.
         """
-        answer = self._peers.call(address, message, timeout_s).result()
-        if isinstance(answer, Refused):
-            raise RefusedError(answer.message)
-        return answer
+        reply = self._peers.call(address, message, timeout_s).result()
+        if isinstance(reply, Refused):
+            raise RefusedError(reply.message)
+        return reply
 
     def _next_address(self) -> str:
-        self._position += 1
-        return self._addresses[self._position % len(self._addresses)]
+        self._address_index += 1
+        return self._addresses[self._address_index % len(self._addresses)]
 
-    def _try(self, address: str, message: object, deadline: float, try_s: float) -> Any:
-        left = max(deadline - time.monotonic(), 0.05)
+    def _attempt(
+        self, address: str, message: object, deadline: float, attempt_timeout_s: float
+    ) -> Any:
+        remaining_s = max(deadline - time.monotonic(), 0.05)
         try:
-            answer = self._peers.call(address, message, min(left, try_s)).result()
+            reply = self._peers.call(
+                address, message, min(remaining_s, attempt_timeout_s)
+            ).result()
         except TransportError:
-            self._leader = ""
+            self._leader_address = ""
             raise
-        if isinstance(answer, NotLeader):
-            self._leader = (
-                "" if answer.leader_address == address else (answer.leader_address)
+        if isinstance(reply, NotLeader):
+            self._leader_address = (
+                "" if reply.leader_address == address else (reply.leader_address)
             )
-            raise NotLeaderError(f"{address} does not lead")
-        if isinstance(answer, Refused):
-            raise RefusedError(answer.message)
-        self._leader = address
-        return answer
+            raise NotLeaderError(f"{address} is not the leader")
+        if isinstance(reply, Refused):
+            raise RefusedError(reply.message)
+        self._leader_address = address
+        return reply
--- a/berylnotch/transport/codec.py
+++ b/berylnotch/transport/codec.py
@@ -1,8 +1,8 @@
 """Conversion between message classes and Cap'n Proto bytes.
 
-The schema is ``berylnotch.capnp`` in this folder. Each message class has a
-struct of the same name there, and a field of the union ``Body``. Fields are
-matched by name: ``snake_case`` here, ``camelCase`` there.
+The schema is ``berylnotch.capnp`` in this directory. It has a struct of the same name
+for each message class, and a field for it in the union ``Body``. Fields are matched by
+name: ``snake_case`` in Python, ``camelCase`` in the schema.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from berylnotch.control import commands, events, protocol, records
 from berylnotch.errors import CodecError
 from berylnotch.quota import messages as quota
-from berylnotch.transport import messages as connection
+from berylnotch.transport import messages as handshake
 
 T = TypeVar("T")
 
-_MODULES = (connection, consensus, commands, events, protocol, quota, records)
+_MODULES = (handshake, consensus, commands, events, protocol, quota, records)
 
-#: Largest encoded message, in bytes.
+#: Maximum size of an encoded message in bytes.
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 
 capnp.remove_import_hook()
@@ -35,7 +35,7 @@
 
 
 def message_classes() -> tuple[type, ...]:
-    """Return every class that `encode` accepts, in schema order."""
+    """Return every class that `encode` accepts, in the order of definition."""
     return tuple(
         value
         for module in _MODULES
@@ -45,21 +45,23 @@
 
 
 @cache
-def camel(name: str) -> str:
-    """Return the schema's name of a class or field."""
+def schema_name(name: str) -> str:
+    """Return the name that a class or field has in the schema."""
     head, *tail = name.split("_")
     return head[0].lower() + head[1:] + "".join(part.capitalize() for part in tail)
 
 
-_by_field: dict[str, type] = {camel(cls.__name__): cls for cls in message_classes()}
+_classes_by_field: dict[str, type] = {
+    schema_name(cls.__name__): cls for cls in message_classes()
+}
 
 
 @attrs.frozen
 class _Field:
-    """How one field of a message class is read and written."""
+    """Names of a field of a message class, and functions to read and write it."""
 
     name: str
-    camel: str
+    schema_name: str
     read: Callable[[Any, str], Any]
     write: Callable[[Any, str, Any], None]
 
@@ -68,13 +70,13 @@
 def _fields(cls: type) -> tuple[_Field, ...]:
     hints = get_type_hints(cls)
     return tuple(
-        _Field(field.name, camel(field.name), *_functions(hints[field.name]))
+        _Field(field.name, schema_name(field.name), *_accessors(hints[field.name]))
         for field in attrs.fields(cls)
     )
 
 
-def _functions(hint: Any) -> tuple[Callable, Callable]:
-    """Return the functions that read and write a field of this type."""
+def _accessors(hint: Any) -> tuple[Callable, Callable]:
+    """Return the functions that read and write a field of the annotated type."""
     if get_origin(hint) is UnionType:
         inner = next(arg for arg in get_args(hint) if arg is not type(None))
         return partial(_read_optional, inner), _write_optional
@@ -90,35 +92,35 @@
     return getattr, setattr
 
 
-def _fill(builder: Any, message: Any) -> None:
+def _write_fields(builder: Any, message: Any) -> None:
     for field in _fields(type(message)):
-        field.write(builder, field.camel, getattr(message, field.name))
+        field.write(builder, field.schema_name, getattr(message, field.name))
 
 
-def _read(reader: Any, cls: type[T]) -> T:
-    values = [field.read(reader, field.camel) for field in _fields(cls)]
+def _read_fields(reader: Any, cls: type[T]) -> T:
+    values = [field.read(reader, field.schema_name) for field in _fields(cls)]
     return cls(*values)
 
 
 def _read_optional(cls: type, reader: Any, field: str) -> Any:
-    return _read(getattr(reader, field), cls) if reader._has(field) else None
+    return _read_fields(getattr(reader, field), cls) if reader._has(field) else None
 
 
 def _write_optional(builder: Any, field: str, value: Any) -> None:
     if value is not None:
-        _fill(builder.init(field), value)
+        _write_fields(builder.init(field), value)
 
 
 def _read_messages(cls: type, reader: Any, field: str) -> tuple[Any, ...]:
-    return tuple(_read(item, cls) for item in getattr(reader, field))
+    return tuple(_read_fields(item, cls) for item in getattr(reader, field))
 
 
 def _write_messages(builder: Any, field: str, values: tuple[Any, ...]) -> None:
     if not values:
         return
     items = builder.init(field, len(values))
-    for position, value in enumerate(values):
-        _fill(items[position], value)
+    for index, value in enumerate(values):
+        _write_fields(items[index], value)
 
 
 def _read_list(reader: Any, field: str) -> tuple[Any, ...]:
@@ -129,8 +131,8 @@
     if not values:
         return
     items = builder.init(field, len(values))
-    for position, value in enumerate(values):
-        items[position] = value
+    for index, value in enumerate(values):
+        items[index] = value
 
 
 def _read_enum(cls: type[Enum], reader: Any, field: str) -> Enum:
@@ -142,11 +144,11 @@
 
 
 def _read_message(cls: type, reader: Any, field: str) -> Any:
-    return _read(getattr(reader, field), cls)
+    return _read_fields(getattr(reader, field), cls)
 
 
 def _write_message(builder: Any, field: str, value: Any) -> None:
-    _fill(builder.init(field), value)
+    _write_fields(builder.init(field), value)
 
 
 def encode(message: object, packed: bool = False) -> bytes:
@@ -157,7 +159,8 @@
     message : object
         Instance of one of `message_classes`.
     packed : bool, default=False
-        Whether to leave out zero bytes, as between processes.
+        Whether to use the packed encoding, which removes zero bytes. It is used
+        between processes.
 
     Returns
     -------
@@ -165,12 +168,12 @@
         Cap'n Proto bytes of a ``Body``.
     """
     body = _schema.Body.new_message()
-    _fill(body.init(camel(type(message).__name__)), message)
+    _write_fields(body.init(schema_name(type(message).__name__)), message)
     return body.to_bytes_packed() if packed else body.to_bytes()
 
 
 def decode(data: bytes, packed: bool = False) -> Any:
-    """Decode bytes that `encode` made in the same form.
+    """Decode bytes that `encode` produced with the same value of `packed`.
 
     Returns
     -------
@@ -193,4 +196,4 @@
 
 def _read_body(body: Any) -> Any:
     field = str(body.which())
-    return _read(getattr(body, field), _by_field[field])
+    return _read_fields(getattr(body, field), _classes_by_field[field])
--- a/berylnotch/transport/errors.py
+++ b/berylnotch/transport/errors.py
@@ -6,19 +6,19 @@
 
 
 class HandshakeError(TransportError):
-    """The other side could not prove its identity."""
+    """The peer failed to prove its identity or broke the handshake protocol."""
 
 
 class FrameError(TransportError):
-    """A frame is too long or its authentication tag is wrong."""
+    """A frame is too long, malformed, or has a wrong authentication tag."""
 
 
 class ConnectionLostError(TransportError):
-    """The connection ended before the answer came."""
+    """The connection failed or ended before the reply arrived."""
 
 
 class CallTimeoutError(TransportError):
-    """No answer came within the time limit."""
+    """No reply arrived within the time limit."""
 
 
 class NotLeaderError(TransportError):
@@ -26,4 +26,4 @@
 
 
 class RefusedError(TransportError):
-    """The other side refused the request, and would refuse a repeat."""
+    """The peer refused the request and would refuse a retry as well."""
--- a/berylnotch/transport/identity.py
+++ b/berylnotch/transport/identity.py
@@ -14,17 +14,17 @@
 #: Name whose key signs references to streams.
 STREAM_KEY_NAME = "stream-references"
 
-#: Name whose key makes the keyed hashes of callers' keys.
+#: Name whose key is used for the keyed hashes of callers' keys.
 CALLER_KEY_NAME = "caller-keys"
 
-#: Fewest bytes of a cluster secret.
+#: Minimum length of a cluster secret in bytes.
 MIN_SECRET_BYTES = 16
 
 
 def identity_key(secret: bytes, identity: str) -> bytes:
     """Derive the key of one identity from the cluster secret.
 
-    An operator holds only the derived key, so it cannot pose as a VM.
+    An operator holds only its derived key, so it cannot impersonate a VM.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     Returns
     -------
     bytes
-        32 bytes.
+        Key of 32 bytes.
     """
     return hmac.digest(secret, b"identity:" + identity.encode(), hashlib.sha256)
 
--- a/berylnotch/transport/link.py
+++ b/berylnotch/transport/link.py
@@ -1,4 +1,4 @@
-"""A connection between two processes of a fleet, with heartbeats."""
+"""Connection with heartbeats between two processes of a fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from berylnotch.util.clock import boot_time
 from berylnotch.util.loop import Loop
 
-#: First word of the reason of a link that ended since nothing was heard.
+#: First word of the close reason of a link whose peer sent nothing for too long.
 SILENT = "silent"
 
 
@@ -26,16 +26,17 @@
     Parameters
     ----------
     heartbeat_s : float, default=0.25
-        Pause after which a heartbeat is sent; a third of `silence_s`, so that one
-        lost packet does not end a link.
+        Time without a sent message after which a heartbeat is sent. It is under a third
+        of `silence_s`, so that one lost packet does not end a link.
     silence_s : float, default=0.9
-        Silence of the other side after which a link is given up. It lies below
-        the shortest time in which a VM counts as being in touch.
+        Time without a received message after which a link is closed. It is below the
+        shortest limit within which a VM has to be heard from to count as reachable.
     connect_s : float, default=0.3
-        Longest wait for a connection. A packet to a VM that was not up yet is sent
-        again after a second only, so that a new connection is sooner there.
+        Maximum time until the connection is established. The kernel resends the first
+        packet to a VM that was not up yet after one second only, so that a new
+        connection reaches the VM sooner.
     retry_s : float, default=0.2
-        Pause before a link that ended is opened again.
+        Back-off before a closed link is opened again.
     """
 
     heartbeat_s: float = 0.25
@@ -46,15 +47,15 @@
 
 @frozen
 class Heartbeat:
-    """Sent when nothing else was."""
+    """Message that is sent if no other message was sent for `heartbeat_s`."""
 
 
-#: Takes a message of the other side.
+#: Handles a message of the peer.
 LinkHandler = Callable[["Link", Any], None]
 
 
 class Link:
-    """An open connection; everything runs in the loop's thread.
+    """Connection to a peer; every method has to be called in the loop's thread.
 
     Parameters
     ----------
@@ -63,15 +64,15 @@
     sock : socket.socket
         Connected or connecting non-blocking socket.
     peer : str
-        Address of the other side.
+        Address of the peer.
     classes : tuple of type
-        Messages that are taken.
+        Classes of the messages that the peer may send, besides `Heartbeat`.
     handler : callable
-        Gets each message.
+        Called with the link and each message other than a heartbeat.
     on_close : callable
-        Called once with the reason when the link ends.
+        Called once with the link and the reason when the link ends.
     settings : LinkSettings
-        Timing.
+        Time limits and intervals.
     """
 
     def __init__(
@@ -85,45 +86,47 @@
         settings: LinkSettings,
     ) -> None:
         self.peer = peer
-        #: Whatever the owner wants to know about the other side.
+        #: Data of the owner about the peer.
         self.context: Any = None
         self._loop = loop
         self._handler = handler
         self._on_close = on_close
         self._settings = settings
-        self._heard_at = boot_time()
-        self._sent_at = self._heard_at
+        self._last_received_at = boot_time()
+        self._last_sent_at = self._last_received_at
         session = PlainSession(peer, (Heartbeat, *classes))
-        self._channel = Channel(loop, sock, session, self._receive, self._closed)
+        self._channel = Channel(
+            loop, sock, session, self._on_message, self._on_channel_closed
+        )
 
     @property
     def is_closed(self) -> bool:
-        """Whether the link has ended."""
+        """Whether the link is closed."""
         return self._channel.is_closed
 
     @property
     def heard_at(self) -> float:
-        """Boot time of the newest message."""
-        return self._heard_at
+        """Boot time in seconds of the last received message."""
+        return self._last_received_at
 
     def start(self) -> None:
-        """Serve the socket."""
+        """Register the socket with the loop and start the heartbeats."""
         self._channel.start()
         self.send(Heartbeat())
-        self._loop.call_later(self._settings.heartbeat_s / 2, self._beat)
+        self._loop.call_later(self._settings.heartbeat_s / 2, self._check_heartbeat)
         self._loop.call_later(self._settings.connect_s, self._check_connected)
 
     def close(self, reason: str = "closed") -> None:
-        """End the link."""
+        """Close the link."""
         self._channel.close(reason)
 
     def send(self, message: object) -> None:
-        """Send a message, or the bytes of one that is packed already."""
-        self._sent_at = boot_time()
+        """Send a message, given as an object or as its packed bytes."""
+        self._last_sent_at = boot_time()
         self._channel.send(message)
 
-    def _receive(self, _identity: str, message: Any, _reply: Reply) -> None:
-        self._heard_at = boot_time()
+    def _on_message(self, _identity: str, message: Any, _reply: Reply) -> None:
+        self._last_received_at = boot_time()
         if not isinstance(message, Heartbeat):
             self._handler(self, message)
 
@@ -131,18 +134,18 @@
         if not self._channel.has_sent:
             self.close(f"not connected within {self._settings.connect_s:g} s")
 
-    def _beat(self) -> None:
+    def _check_heartbeat(self) -> None:
         if self.is_closed:
             return
         now = boot_time()
-        if now - self._heard_at > self._settings.silence_s:
-            self.close(f"{SILENT} for {now - self._heard_at:.1f} s")
+        if now - self._last_received_at > self._settings.silence_s:
+            self.close(f"{SILENT} for {now - self._last_received_at:.1f} s")
             return
-        if now - self._sent_at >= self._settings.heartbeat_s:
+        if now - self._last_sent_at >= self._settings.heartbeat_s:
             self.send(Heartbeat())
-        self._loop.call_later(self._settings.heartbeat_s / 2, self._beat)
+        self._loop.call_later(self._settings.heartbeat_s / 2, self._check_heartbeat)
 
-    def _closed(self, _channel: Channel, reason: str) -> None:
+    def _on_channel_closed(self, _channel: Channel, reason: str) -> None:
         self._on_close(self, reason)
 
 
@@ -154,12 +157,12 @@
     on_close: Callable[[Link, str], None],
     settings: LinkSettings,
 ) -> Link:
-    """Begin to connect to another process.
+    """Start to connect to another process.
 
     Raises
     ------
     OSError
-        If the connection failed at once.
+        If the connection attempt failed immediately.
     """
     sock = connect(address, settings.silence_s)
     return Link(loop, sock, str(address), classes, handler, on_close, settings)
@@ -173,7 +176,7 @@
     on_close: Callable[[Link, str], None],
     settings: LinkSettings,
 ) -> Link:
-    """Serve a connection that another process opened."""
+    """Return the link of a connection that another process opened."""
     detect_dead_peer(sock, settings.silence_s)
     host, port = sock.getpeername()
     peer = str(Address(host, port))
--- a/berylnotch/transport/messages.py
+++ b/berylnotch/transport/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the connection itself."""
+"""Messages of the handshake, and the envelope of all later messages."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @frozen
 class Challenge:
-    """First message of the accepting side."""
+    """First message of a connection, sent by the accepting side."""
 
     nonce: bytes
 
 
 @frozen
 class Hello:
-    """Who connects, with proof that it holds the identity's key.
+    """Identity of the connecting side, with proof that it holds the identity's key.
 
     ``identity`` is ``vm/NAME`` for the system's own processes or
     ``operator/NAME``.
@@ -27,16 +27,16 @@
 
 @frozen
 class Welcome:
-    """Proof of the accepting side."""
+    """Proof that the accepting side holds the key of the connecting side."""
 
     proof: bytes
 
 
 @frozen
 class Envelope:
-    """A message with its place in the conversation.
+    """A message with the data that matches a reply with its request.
 
-    ``call`` is 0 for a one-way message; a reply repeats its request's.
+    ``call`` is 0 for a one-way message. A reply repeats the ``call`` of its request.
     """
 
     call: int
--- a/berylnotch/transport/packing.py
+++ b/berylnotch/transport/packing.py
@@ -1,10 +1,10 @@
 """Conversion between message classes and MessagePack bytes.
 
-The processes of a fleet use this codec where memory counts: it takes under 2 MB of
-a process, the schema compiler of `berylnotch.transport.codec` takes 13 MB. A
-message is a pair of its class name and a list of its fields. Large messages, as whole
-tables and configurations, are compressed: their texts repeat, and a leader sends them
-to each router of a fleet.
+The processes of a fleet use this codec because it needs less memory: under 2 MB per
+process, compared with 13 MB for the schema compiler of `berylnotch.transport.codec`. A
+message is encoded as a pair of its class name and a list of its fields. Large messages,
+such as complete tables and configurations, are compressed, because their texts are
+repetitive and a leader sends them to each router of a fleet.
 """
 
 from __future__ import annotations
@@ -20,55 +20,60 @@
 
 from berylnotch.errors import CodecError
 
-#: Largest encoded message, in bytes; a snapshot part and a configuration fit.
+#: Maximum size of a message in bytes, compressed or not. A part of a snapshot and a
+#: configuration fit.
 MAX_PACKED_BYTES = 8 * 1024 * 1024
 
-#: Bytes from which a message is compressed; smaller ones hardly shrink.
+#: Minimum size, in bytes, of a message that is compressed; smaller messages hardly
+#: shrink.
 COMPRESS_BYTES = 2048
 
-#: First byte of a compressed message; no MessagePack value begins with it.
+#: First byte of a compressed message. MessagePack reserves it, so no value begins with
+#: it.
 _COMPRESSED = b"\xc1"
 
-#: Speed before size: the fastest level takes a fifth of the bytes of a table.
-_LEVEL = 1
+#: Fastest level of zlib; it already reduces a table to a fifth of its size.
+_COMPRESSION_LEVEL = 1
 
 _converter = cattrs.Converter(unstruct_strat=cattrs.UnstructureStrategy.AS_TUPLE)
 _converter.register_structure_hook(bytes, lambda value, _: bytes(value))
 
 
 def pack(message: object) -> bytes:
-    """Encode an instance of an `attrs` class."""
-    data = msgpack.packb((type(message).__name__, message), default=_plain)
+    """Encode an instance of an `attrs` class; large messages are compressed."""
+    data = msgpack.packb((type(message).__name__, message), default=_to_plain_value)
     if len(data) < COMPRESS_BYTES:
         return data
-    return _COMPRESSED + zlib.compress(data, _LEVEL)
+    return _COMPRESSED + zlib.compress(data, _COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes, classes: tuple[type, ...]) -> Any:
-    """Decode bytes of `pack` that hold an instance of one of ``classes``.
+    """Decode bytes from `pack` that hold an instance of one of ``classes``.
 
     Raises
     ------
     CodecError
-        If the bytes hold nothing of the kind.
+        If the bytes do not hold a valid message of one of the classes.
     """
     try:
-        name, values = msgpack.unpackb(_decompressed(data), use_list=False)
-        cls = _by_name(classes)[name]
+        name, values = msgpack.unpackb(_decompress(data), use_list=False)
+        cls = _classes_by_name(classes)[name]
         return _converter.structure(values, cls)
     except Exception as error:
-        # The libraries raise many kinds of errors for bytes of a stranger.
+        # The libraries raise many types of exceptions for malformed bytes.
         raise CodecError(f"invalid message of {len(data)} bytes: {error!r}") from error
 
 
-def _decompressed(data: bytes) -> bytes:
+def _decompress(data: bytes) -> bytes:
     if data[:1] != _COMPRESSED:
         return data
     stream = zlib.decompressobj()
-    plain = stream.decompress(data[1:], MAX_PACKED_BYTES)
+    decompressed = stream.decompress(data[1:], MAX_PACKED_BYTES)
     if not stream.eof or stream.unused_data:
-        raise CodecError(f"compressed message is cut, or over {MAX_PACKED_BYTES} bytes")
-    return plain
+        raise CodecError(
+            f"compressed message is malformed or over {MAX_PACKED_BYTES} bytes"
+        )
+    return decompressed
 
 
 def message_classes(module: Any) -> tuple[type, ...]:
@@ -82,23 +87,23 @@
     )
 
 
-def _plain(value: Any) -> Any:
+def _to_plain_value(value: Any) -> Any:
     if isinstance(value, Enum):
         return value.value
     return tuple(getattr(value, field.name) for field in attrs.fields(type(value)))
 
 
 @cache
-def _by_name(classes: tuple[type, ...]) -> dict[str, type]:
+def _classes_by_name(classes: tuple[type, ...]) -> dict[str, type]:
     for cls in classes:
-        _resolve(cls)
+        _resolve_annotations(cls)
     return {cls.__name__: cls for cls in classes}
 
 
-def _resolve(hint: Any) -> None:
-    """Replace the names of types in a class, and in those of its fields, by types."""
-    for part in get_args(hint):
-        _resolve(part)
+def _resolve_annotations(hint: Any) -> None:
+    """Resolve the string annotations of a class and, recursively, of its fields."""
+    for argument in get_args(hint):
+        _resolve_annotations(argument)
     if isinstance(hint, type) and attrs.has(hint):
         for field in attrs.fields(attrs.resolve_types(hint)):
-            _resolve(field.type)
+            _resolve_annotations(field.type)
--- a/berylnotch/transport/peers.py
+++ b/berylnotch/transport/peers.py
@@ -1,4 +1,4 @@
-"""Listening socket and outgoing connections to other processes."""
+"""Authenticated connections between processes: listener and outgoing connections."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from berylnotch.util.loop import Loop
 
 _BACKLOG = 512
-#: Seconds before a connection that could not be made is tried again.
-_RECONNECT_S = 0.25
-#: Seconds in which a stranger has to prove its identity.
-_HANDSHAKE_S = 5.0
+#: Back-off in seconds before the next attempt to connect to an address.
+_RECONNECT_DELAY_S = 0.25
+#: Time limit of the handshake in seconds.
+_HANDSHAKE_TIMEOUT_S = 5.0
 
 
 class Listener:
-    """Accepts connections from other processes.
+    """Listening socket for authenticated connections from other processes.
 
     Parameters
     ----------
     loop : Loop
         Loop that serves the sockets.
     address : Address
-        Where to listen; port 0 picks a free one.
+        Address to listen on; port 0 selects a free port.
     key_of : callable
-        Key of an identity.
+        Returns the key of an identity.
     handler : callable
-        Gets each message of an authenticated connection.
+        Called with each message that is not a reply, on authenticated connections.
     """
 
     def __init__(
@@ -55,18 +55,18 @@
 
     @property
     def address(self) -> Address:
-        """Address in use, with the port that was picked."""
+        """Address that the socket listens on, with the actual port."""
         host, port = self._sock.getsockname()
         return Address(host, port)
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self._loop.call_soon(
             lambda: self._loop.watch(self._sock, selectors.EVENT_READ, self._accept)
         )
 
     def close(self) -> None:
-        """Stop listening and end the accepted connections."""
+        """Stop listening and close the accepted connections."""
         self._loop.call_soon(self._close)
 
     def _close(self) -> None:
@@ -80,24 +80,28 @@
             sock, _ = self._sock.accept()
         except OSError:
             return
-        _configure(sock)
+        _configure_socket(sock)
         session = Session("", self._key_of, accepting=True)
-        channel = Channel(self._loop, sock, session, self._handler, self._forget)
+        channel = Channel(
+            self._loop, sock, session, self._handler, self._on_channel_closed
+        )
         self._channels.add(channel)
         channel.start()
-        self._loop.call_later(_HANDSHAKE_S, lambda: self._check_open(channel))
+        self._loop.call_later(
+            _HANDSHAKE_TIMEOUT_S, lambda: self._check_handshake(channel)
+        )
 
-    def _check_open(self, channel: Channel) -> None:
+    def _check_handshake(self, channel: Channel) -> None:
         if not channel.is_open:
-            channel.close("no handshake in time")
+            channel.close("handshake not completed in time")
 
-    def _forget(self, channel: Channel, reason: str) -> None:
+    def _on_channel_closed(self, channel: Channel, reason: str) -> None:
         self._channels.discard(channel)
         logger.debug("event=connection_closed reason={!r}", reason)
 
 
 class Peers:
-    """Outgoing connections by address, made when first used.
+    """Outgoing connections by address, each opened on first use.
 
     Parameters
     ----------
@@ -106,9 +110,9 @@
     identity : str
         Identity of this process.
     key_of : callable
-        Key of an identity.
+        Returns the key of an identity.
     source : str, default=""
-        IP number to connect from; any if empty.
+        Local IP address to connect from; chosen by the kernel if empty.
     """
 
     def __init__(
@@ -122,24 +126,24 @@
         self._retry_at: dict[str, float] = {}
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         self._loop.call_soon(self._close)
 
     def send(self, address: str, message: object) -> None:
-        """Send a one-way message; it is lost if there is no connection."""
-        self._in_loop(lambda: self._send(address, message))
+        """Send a one-way message; it is dropped if no connection can be opened."""
+        self._run_in_loop(lambda: self._send(address, message))
 
     def call(self, address: str, message: object, timeout_s: float) -> Future[Any]:
-        """Send a request and return its future answer.
+        """Send a request and return a future of the reply.
 
-        The future fails with a `TransportError` if none comes. Its callbacks
-        run in the loop's thread.
+        The future fails with a `TransportError` if no reply arrives. Its callbacks run
+        in the loop's thread.
         """
         future: Future[Any] = Future()
-        self._in_loop(lambda: self._call(address, message, timeout_s, future))
+        self._run_in_loop(lambda: self._call(address, message, timeout_s, future))
         return future
 
-    def _in_loop(self, call: Callable[[], None]) -> None:
+    def _run_in_loop(self, call: Callable[[], None]) -> None:
         if self._loop.in_thread:
             call()
         else:
@@ -150,21 +154,24 @@
             channel.close("shutting down")
 
     def _send(self, address: str, message: object) -> None:
-        channel = self._channel(address)
+        channel = self._find_or_connect(address)
         if channel is not None:
             channel.send(message)
 
     def _call(
         self, address: str, message: object, timeout_s: float, future: Future[Any]
     ) -> None:
-        channel = self._channel(address)
+        channel = self._find_or_connect(address)
         if channel is None:
-            # Fail through the loop, so that a retry in the callback cannot recurse.
-            self._loop.call_later(_RECONNECT_S, lambda: _fail(future, address))
+            # The call fails later in the loop, so that a retry in its callback does not
+            # recurse.
+            self._loop.call_later(
+                _RECONNECT_DELAY_S, lambda: _fail_call(future, address)
+            )
             return
         channel.call(message, timeout_s, future)
 
-    def _channel(self, address: str) -> Channel | None:
+    def _find_or_connect(self, address: str) -> Channel | None:
         channel = self._channels.get(address)
         if channel is not None:
             return channel
@@ -174,45 +181,47 @@
 
     def _connect(self, address: str) -> Channel | None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        _configure(sock)
+        _configure_socket(sock)
         if self._source:
             sock.bind((self._source, 0))
         status = sock.connect_ex(parse_address(address).pair)
         if status not in (0, errno.EINPROGRESS):
             sock.close()
-            self._retry_at[address] = time.monotonic() + _RECONNECT_S
+            self._retry_at[address] = time.monotonic() + _RECONNECT_DELAY_S
             return None
         session = Session(self._identity, self._key_of, accepting=False)
         channel = Channel(
             self._loop,
             sock,
             session,
-            _refuse_request,
-            lambda _channel, _reason: self._lost(address),
+            _ignore_request,
+            lambda _channel, _reason: self._on_connection_lost(address),
         )
         self._channels[address] = channel
         channel.start()
-        self._loop.call_later(_HANDSHAKE_S, lambda: _close_unless_open(channel))
+        self._loop.call_later(
+            _HANDSHAKE_TIMEOUT_S, lambda: _close_without_handshake(channel)
+        )
         return channel
 
-    def _lost(self, address: str) -> None:
+    def _on_connection_lost(self, address: str) -> None:
         self._channels.pop(address, None)
-        self._retry_at[address] = time.monotonic() + _RECONNECT_S
+        self._retry_at[address] = time.monotonic() + _RECONNECT_DELAY_S
 
 
-def _close_unless_open(channel: Channel) -> None:
+def _close_without_handshake(channel: Channel) -> None:
     if not channel.is_open:
-        channel.close("no handshake in time")
+        channel.close("handshake not completed in time")
 
 
-def _configure(sock: socket.socket) -> None:
+def _configure_socket(sock: socket.socket) -> None:
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def _fail(future: Future[Any], address: str) -> None:
+def _fail_call(future: Future[Any], address: str) -> None:
     future.set_exception(ConnectionLostError(f"no connection to {address}"))
 
 
-def _refuse_request(_identity: str, _message: Any, _reply: Any) -> None:
-    """Ignore requests on a connection that this process made."""
+def _ignore_request(_identity: str, _message: Any, _reply: Any) -> None:
+    """Ignore requests that the accepting side sends on an outgoing connection."""
--- a/berylnotch/transport/plain.py
+++ b/berylnotch/transport/plain.py
@@ -1,7 +1,7 @@
-"""Framing of messages on a link that carries no proof of identity.
+"""Framing of messages on connections without authentication.
 
-The links of a fleet run inside the operators' own network and have no secret to
-prove; a frame holds the number of its call, whether it answers one, and a message.
+The links of a fleet stay inside the operators' own network and have no shared secret.
+A frame holds the number of its call, a flag that marks a reply, and a message.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 @frozen
 class Envelope:
-    """Number of a call, 0 for none, and whether the message answers it."""
+    """Number of a call, 0 for a one-way message, and whether the message replies."""
 
     call: int
     reply: bool
 
 
 class PlainSession:
-    """State of one connection, as `berylnotch.transport.channel.Channel` uses it.
+    """Framing of one connection, without handshake, for a `Channel`.
 
     Parameters
     ----------
     identity : str
-        Address of the other side, for logs.
+        Address of the peer, for logs.
     classes : tuple of type
-        Messages that are taken.
+        Classes of the messages that the peer may send.
     """
 
     is_open = True
@@ -44,36 +44,40 @@
         self._input = bytearray()
         self._output = bytearray()
 
-    def send(self, call: int, reply: bool, message: object) -> None:
-        """Frame a message; one that goes to many is packed once, by its sender."""
+    def send(self, call_id: int, is_reply: bool, message: object) -> None:
+        """Queue a message as one frame.
+
+        A message to many peers is packed only once by its sender, which passes the
+        bytes.
+        """
         data = message if isinstance(message, bytes) else pack(message)
-        self._output += _HEADER.pack(len(data), call, reply)
+        self._output += _HEADER.pack(len(data), call_id, is_reply)
         self._output += data
 
     def take_output(self) -> bytes:
-        """Return the bytes to send, and forget them."""
+        """Return the bytes to send since the last call."""
         output = bytes(self._output)
         self._output.clear()
         return output
 
     def feed(self, data: bytes) -> list[tuple[Envelope, Any]]:
-        """Take received bytes; return the messages that are complete.
+        """Take received bytes and return the messages completed by them.
 
         Raises
         ------
         TransportError
-            If the bytes are no frames of known messages.
+            If a frame is too long or holds no message of the expected classes.
         """
         self._input += data
         messages = []
         while len(self._input) >= _HEADER.size:
-            size, call, reply = _HEADER.unpack_from(self._input)
+            size, call_id, is_reply = _HEADER.unpack_from(self._input)
             if size > MAX_PACKED_BYTES:
-                raise FrameError(f"frame of {size} bytes")
+                raise FrameError(f"frame of {size} bytes is over the limit")
             end = _HEADER.size + size
             if len(self._input) < end:
                 break
             message = unpack(bytes(self._input[_HEADER.size : end]), self._classes)
             del self._input[:end]
-            messages.append((Envelope(call, bool(reply)), message))
+            messages.append((Envelope(call_id, bool(is_reply)), message))
         return messages
--- a/berylnotch/transport/session.py
+++ b/berylnotch/transport/session.py
@@ -1,7 +1,7 @@
-"""State of one connection: handshake, framing and authentication of frames.
+"""Handshake, framing and authentication of frames of one connection.
 
-No socket is used here: bytes go in by `Session.feed`, and bytes to send come
-out of `Session.take_output`.
+The module does no I/O: received bytes are passed to `Session.feed`, and the bytes to
+send are returned by `Session.take_output`.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from berylnotch.transport.errors import FrameError, HandshakeError
 from berylnotch.transport.messages import Challenge, Envelope, Hello, Welcome
 
-#: Returns the key of an identity; an unknown one gets a key all the same.
+#: Returns the key of an identity; it has to return a key for an unknown one as well.
 KeyLookup = Callable[[str], bytes]
 
 _HEADER = struct.Struct(">I")
 _TAG_BYTES = 16
 _NONCE_BYTES = 16
-#: Longest frame, in bytes, before the other side has proved its identity.
+#: Maximum length of a frame, in bytes, before the peer has proved its identity.
 _MAX_HANDSHAKE_BYTES = 1024
 
 
@@ -44,10 +44,10 @@
     Parameters
     ----------
     identity : str
-        Identity of the connecting side; empty on the accepting side until the
-        other side has proved its own.
+        Identity of the connecting side. It is ignored on the accepting side, which
+        learns the identity from the handshake.
     key_of : callable
-        Key of an identity.
+        Returns the key of an identity.
     accepting : bool
         Whether this side accepted the connection.
     """
@@ -61,20 +61,20 @@
         self._input = bytearray()
         self._output = bytearray()
         self._session_key = b""
-        self._welcome = b""
-        self._sent = 0
-        self._received = 0
+        self._expected_welcome = b""
+        self._sent_frames = 0
+        self._received_frames = 0
         if accepting:
-            self._write_plain(Challenge(self._nonce))
+            self._write_handshake(Challenge(self._nonce))
 
     @property
     def identity(self) -> str:
-        """Proved identity of the connecting side."""
+        """Identity of the connecting side; empty on the accepting side until proved."""
         return self._identity
 
     @property
     def is_open(self) -> bool:
-        """Whether both sides have proved who they are."""
+        """Whether both sides have proved their identity."""
         return self._phase is _Phase.OPEN
 
     def take_output(self) -> bytes:
@@ -83,23 +83,23 @@
         self._output.clear()
         return output
 
-    def send(self, call: int, reply: bool, message: object) -> None:
+    def send(self, call_id: int, is_reply: bool, message: object) -> None:
         """Queue a message as one frame.
 
         Raises
         ------
         FrameError
-            If the connection is not open or the message is too long.
+            If the handshake is not complete or the message is too long.
         """
         if not self.is_open:
-            raise FrameError("the connection is not open yet")
-        data = encode(Envelope(call, reply, encode(message, packed=True)))
+            raise FrameError("message before the end of the handshake")
+        data = encode(Envelope(call_id, is_reply, encode(message, packed=True)))
         if len(data) > MAX_MESSAGE_BYTES:
             raise FrameError(
-                f"message of {len(data)} bytes, at most {MAX_MESSAGE_BYTES}"
+                f"message of {len(data)} bytes, limit is {MAX_MESSAGE_BYTES}"
             )
-        tag = self._tag(self._accepting, self._sent, data)
-        self._sent += 1
+        tag = self._compute_tag(self._accepting, self._sent_frames, data)
+        self._sent_frames += 1
         self._output += _HEADER.pack(len(data) + _TAG_BYTES) + tag + data
 
     def feed(self, data: bytes) -> list[tuple[Envelope, Any]]:
@@ -108,17 +108,17 @@
         Raises
         ------
         HandshakeError
-            If the other side cannot prove its identity.
+            If the peer fails to prove its identity.
         FrameError
-            If a frame is too long or was altered.
+            If a frame is too long, malformed, altered or replayed.
         """
         self._input += data
         messages = []
         while (frame := self._next_frame()) is not None:
             if self.is_open:
-                messages.append(self._open_frame(frame))
+                messages.append(self._decode_frame(frame))
             else:
-                self._handshake(frame)
+                self._on_handshake_frame(frame)
         return messages
 
     def _next_frame(self) -> bytes | None:
@@ -127,7 +127,7 @@
         (length,) = _HEADER.unpack_from(self._input)
         limit = MAX_MESSAGE_BYTES + _TAG_BYTES if self.is_open else _MAX_HANDSHAKE_BYTES
         if length > limit:
-            raise FrameError(f"frame of {length} bytes, at most {limit}")
+            raise FrameError(f"frame of {length} bytes, limit is {limit}")
         end = _HEADER.size + length
         if len(self._input) < end:
             return None
@@ -135,12 +135,12 @@
         del self._input[:end]
         return frame
 
-    def _open_frame(self, frame: bytes) -> tuple[Envelope, Any]:
+    def _decode_frame(self, frame: bytes) -> tuple[Envelope, Any]:
         tag, data = frame[:_TAG_BYTES], frame[_TAG_BYTES:]
-        expected = self._tag(not self._accepting, self._received, data)
+        expected = self._compute_tag(not self._accepting, self._received_frames, data)
         if not hmac.compare_digest(tag, expected):
             raise FrameError("authentication tag of a frame is wrong")
-        self._received += 1
+        self._received_frames += 1
         try:
             envelope = decode(data)
             if not isinstance(envelope, Envelope):
@@ -149,54 +149,66 @@
         except CodecError as error:
             raise FrameError(str(error)) from error
 
-    def _tag(self, from_acceptor: bool, number: int, data: bytes) -> bytes:
-        # Direction and number are covered, so a frame can be neither reflected
-        # nor replayed.
-        prefix = struct.pack(">?Q", from_acceptor, number)
+    def _compute_tag(self, from_acceptor: bool, sequence: int, data: bytes) -> bytes:
+        # The tag covers the direction and the sequence number, so that a frame can be
+        # neither reflected nor replayed.
+        prefix = struct.pack(">?Q", from_acceptor, sequence)
         digest = hmac.digest(self._session_key, prefix + data, hashlib.sha256)
         return digest[:_TAG_BYTES]
 
-    def _write_plain(self, message: object) -> None:
+    def _write_handshake(self, message: object) -> None:
         data = encode(message)
         self._output += _HEADER.pack(len(data)) + data
 
-    def _handshake(self, frame: bytes) -> None:
+    def _on_handshake_frame(self, frame: bytes) -> None:
         try:
             message = decode(frame)
         except CodecError as error:
-            raise HandshakeError("bytes that are no handshake") from error
+            raise HandshakeError("malformed handshake message") from error
         if self._phase is _Phase.WAIT_CHALLENGE and isinstance(message, Challenge):
-            self._answer_challenge(message)
+            self._on_challenge(message)
         elif self._phase is _Phase.WAIT_HELLO and isinstance(message, Hello):
-            self._answer_hello(message)
+            self._on_hello(message)
         elif self._phase is _Phase.WAIT_WELCOME and isinstance(message, Welcome):
-            self._check_welcome(message)
+            self._on_welcome(message)
         else:
-            raise HandshakeError(f"unexpected {type(message).__name__}")
+            raise HandshakeError(
+                f"unexpected handshake message {type(message).__name__}"
+            )
 
-    def _answer_challenge(self, message: Challenge) -> None:
+    def _on_challenge(self, message: Challenge) -> None:
         key = self._key_of(self._identity)
-        proof = self._prove(key, b"hello", message.nonce, self._nonce)
-        self._write_plain(Hello(self._identity, self._nonce, proof))
-        self._welcome = self._prove(key, b"welcome", message.nonce, self._nonce)
-        self._session_key = self._prove(key, b"session", message.nonce, self._nonce)
+        proof = self._compute_proof(key, b"hello", message.nonce, self._nonce)
+        self._write_handshake(Hello(self._identity, self._nonce, proof))
+        self._expected_welcome = self._compute_proof(
+            key, b"welcome", message.nonce, self._nonce
+        )
+        self._session_key = self._compute_proof(
+            key, b"session", message.nonce, self._nonce
+        )
         self._phase = _Phase.WAIT_WELCOME
 
-    def _answer_hello(self, message: Hello) -> None:
+    def _on_hello(self, message: Hello) -> None:
         key = self._key_of(message.identity)
-        proof = self._prove(key, b"hello", self._nonce, message.nonce)
+        proof = self._compute_proof(key, b"hello", self._nonce, message.nonce)
         if not hmac.compare_digest(proof, message.proof):
             raise HandshakeError(f"wrong proof for {message.identity[:80]!r}")
         self._identity = message.identity
-        welcome = self._prove(key, b"welcome", self._nonce, message.nonce)
-        self._write_plain(Welcome(welcome))
-        self._session_key = self._prove(key, b"session", self._nonce, message.nonce)
+        welcome = self._compute_proof(key, b"welcome", self._nonce, message.nonce)
+        self._write_handshake(Welcome(welcome))
+        self._session_key = self._compute_proof(
+            key, b"session", self._nonce, message.nonce
+        )
         self._phase = _Phase.OPEN
 
-    def _check_welcome(self, message: Welcome) -> None:
-        if not hmac.compare_digest(self._welcome, message.proof):
-            raise HandshakeError("the accepting side has another secret")
+    def _on_welcome(self, message: Welcome) -> None:
+        if not hmac.compare_digest(self._expected_welcome, message.proof):
+            raise HandshakeError("the accepting side has a different secret")
         self._phase = _Phase.OPEN
 
-    def _prove(self, key: bytes, label: bytes, acceptor: bytes, connector: bytes):
-        return hmac.digest(key, label + acceptor + connector, hashlib.sha256)
+    def _compute_proof(
+        self, key: bytes, label: bytes, acceptor_nonce: bytes, connector_nonce: bytes
+    ):
+        return hmac.digest(
+            key, label + acceptor_nonce + connector_nonce, hashlib.sha256
+        )
--- a/tests/test_net/support.py
+++ b/tests/test_net/support.py
@@ -1,4 +1,4 @@
-"""A loop with a server and raw connections to it."""
+"""HTTP server on a loop with raw client connections, and a fake target."""
 
 import socket
 import threading
@@ -11,7 +11,7 @@
 
 
 class Harness:
-    """A server whose handler a test gives, and what it refused."""
+    """HTTP server with a handler of the test; records requests, refusals and errors."""
 
     def __init__(self, handler, limits=None):
         self.errors, self.refused, self.requests = [], [], []
@@ -33,14 +33,14 @@
         self.run(self.server.start)
 
     def run(self, call):
-        """Run a call in the loop's thread and return its result."""
+        """Run a function in the loop's thread and return its result."""
         done, result = threading.Event(), []
 
-        def inside():
+        def run_call():
             result.append(call())
             done.set()
 
-        self.loop.call_soon(inside)
+        self.loop.call_soon(run_call)
         assert done.wait(5)
         return result[0]
 
@@ -54,17 +54,17 @@
         return sock
 
     def exchange(self, *pieces, pause_s=0.05):
-        """Send pieces with pauses, end sending, and return all that comes back."""
+        """Send pieces, each followed by a pause, and return all received bytes."""
         with self.connect() as sock:
-            waiter = threading.Event()
+            pause = threading.Event()
             for piece in pieces:
                 sock.sendall(piece)
-                waiter.wait(pause_s)
+                pause.wait(pause_s)
             return read_all(sock, 0.4)
 
 
 def read_all(sock, quiet_s):
-    """Return what comes until the end, or until nothing came for a while."""
+    """Return the bytes received up to the end or a pause of ``quiet_s`` seconds."""
     sock.settimeout(quiet_s)
     data = b""
     try:
@@ -76,42 +76,45 @@
 
 
 def echo(_harness, connection, request):
-    """Answer with the target and the body."""
+    """Respond with the method, the target and the body of the request."""
     body = f"{request.method} {request.target} ".encode() + request.body
     connection.respond(200, Headers(), body)
 
 
 class RawServer:
-    """Answers each request on each connection with given bytes.
+    """Fake target that responds to the requests of each connection with fixed bytes.
 
-    After the last answer come the pieces of ``then``, with pauses.
+    After the last response, it sends the pieces of ``then``, with pauses of ``pause_s``
+    seconds, and closes the connection, with a TCP reset if ``reset`` is true.
     """
 
-    def __init__(self, *answers, reset=False, then=(), pause_s=0.0):
+    def __init__(self, *responses, reset=False, then=(), pause_s=0.0):
         self.then, self.pause_s = then, pause_s
         self.sock = socket.create_server(("127.0.0.1", 0))
-        self.answers, self.reset = answers, reset
-        threading.Thread(target=self._serve, daemon=True).start()
+        self.responses, self.reset = responses, reset
+        threading.Thread(target=self._accept_connections, daemon=True).start()
 
-    def _serve(self):
+    def _accept_connections(self):
         while True:
             try:
                 sock, _ = self.sock.accept()
             except OSError:
                 return
-            threading.Thread(target=self._answer, args=(sock,), daemon=True).start()
+            threading.Thread(
+                target=self._serve_connection, args=(sock,), daemon=True
+            ).start()
 
-    def _answer(self, sock):
-        for answer in self.answers:
+    def _serve_connection(self, sock):
+        for response in self.responses:
             if not sock.recv(65536):
                 break
-            sock.sendall(answer)
+            sock.sendall(response)
         try:
             for piece in self.then:
                 threading.Event().wait(self.pause_s)
                 sock.sendall(piece)
         except OSError:
-            # The router has left the connection.
+            # The client has closed the connection.
             return
         if self.reset:
             linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
--- a/tests/test_net/test_client.py
+++ b/tests/test_net/test_client.py
@@ -1,4 +1,4 @@
-"""Answers of targets: whole, foreign, without a length, late, broken."""
+"""Responses of targets: complete, of other requests, without a length, truncated."""
 
 import socket
 import threading
@@ -14,7 +14,7 @@
 
 
 class Sink(ResponseSink):
-    """Collects what an exchange tells; skips answers of others."""
+    """Records the response to a request; skips responses with another id."""
 
     def __init__(self, own_id="own"):
         self.own_id = own_id
@@ -50,14 +50,16 @@
 
 
 REQUEST = HttpRequest("POST", "/x", Headers((("Host", "h"),)), b"body")
-WHOLE = b"HTTP/1.1 200 OK\r\nId: own\r\nContent-Length: 4\r\n\r\ngood"
-FOREIGN = b"HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 3\r\n\r\nbad"
-UNFRAMED = b"HTTP/1.1 200 OK\r\nId: own\r\n\r\nup to the end"
-CUT = b"HTTP/1.1 200 OK\r\nId: own\r\nContent-Length: 40\r\n\r\ngood"
-CHUNK_CUT = b"HTTP/1.1 200 OK\r\nId: own\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood"
+COMPLETE = b"HTTP/1.1 200 OK\r\nId: own\r\nContent-Length: 4\r\n\r\ngood"
+OTHER_RESPONSE = b"HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 3\r\n\r\nbad"
+CLOSE_DELIMITED = b"HTTP/1.1 200 OK\r\nId: own\r\n\r\nup to the end"
+TRUNCATED = b"HTTP/1.1 200 OK\r\nId: own\r\nContent-Length: 40\r\n\r\ngood"
+TRUNCATED_CHUNKED = (
+    b"HTTP/1.1 200 OK\r\nId: own\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood"
+)
 
 
-def ask(loop, server, connection=None):
+def send_request(loop, server, connection=None):
     connection = connection or ClientConnection(loop, server.address, 2.0, 1.0)
     sink = Sink()
     loop.call_soon(lambda: connection.send(REQUEST, sink))
@@ -65,43 +67,45 @@
     return sink, connection
 
 
-def test_a_whole_answer_leaves_the_connection_for_the_next(loop):
-    server = RawServer(WHOLE, WHOLE)
-    sink, connection = ask(loop, server)
+def test_a_complete_response_leaves_the_connection_reusable(loop):
+    server = RawServer(COMPLETE, COMPLETE)
+    sink, connection = send_request(loop, server)
     assert (sink.status, sink.body, sink.result) == (200, b"good", "complete")
     assert connection.is_reusable
-    sink, _ = ask(loop, server, connection)
+    sink, _ = send_request(loop, server, connection)
     assert sink.result == "complete"
 
 
-def test_an_answer_of_another_request_is_skipped(loop):
-    sink, connection = ask(loop, RawServer(FOREIGN + WHOLE))
+def test_a_response_to_another_request_is_skipped(loop):
+    sink, connection = send_request(loop, RawServer(OTHER_RESPONSE + COMPLETE))
     assert sink.body == b"good" and not connection.is_reusable
 
 
-def test_bytes_after_an_answer_end_the_connection(loop):
-    sink, connection = ask(loop, RawServer(WHOLE + FOREIGN))
+def test_bytes_after_a_response_close_the_connection(loop):
+    sink, connection = send_request(loop, RawServer(COMPLETE + OTHER_RESPONSE))
     assert sink.body == b"good" and not connection.is_reusable
 
 
-@pytest.mark.parametrize("answer", [CUT, CHUNK_CUT, b"", b"\x00\xff nonsense\r\n\r\n"])
-def test_a_broken_answer_is_a_failure_that_may_have_run(loop, answer):
-    sink, connection = ask(loop, RawServer(answer))
+@pytest.mark.parametrize(
+    "answer", [TRUNCATED, TRUNCATED_CHUNKED, b"", b"\x00\xff nonsense\r\n\r\n"]
+)
+def test_a_broken_response_is_a_failure_after_a_possible_run(loop, answer):
+    sink, connection = send_request(loop, RawServer(answer))
     assert sink.result is Failure.BROKEN and connection.is_closed
 
 
-def test_an_answer_without_a_length_ends_with_its_connection(loop):
-    sink, connection = ask(loop, RawServer(UNFRAMED))
+def test_a_response_without_a_length_ends_with_its_connection(loop):
+    sink, connection = send_request(loop, RawServer(CLOSE_DELIMITED))
     assert sink.body == b"up to the end" and sink.result == "complete"
     assert not connection.is_reusable
 
 
-def test_an_answer_without_a_length_is_not_whole_after_a_reset(loop):
-    sink, _ = ask(loop, RawServer(UNFRAMED, reset=True))
+def test_a_response_without_a_length_is_incomplete_after_a_reset(loop):
+    sink, _ = send_request(loop, RawServer(CLOSE_DELIMITED, reset=True))
     assert sink.result is Failure.BROKEN
 
 
-def test_nothing_listens_so_nothing_was_sent(loop):
+def test_a_refused_connection_is_reported_as_not_sent(loop):
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = Address(*server.getsockname())
     sink = Sink()
@@ -110,27 +114,27 @@
     assert sink.done.wait(5) and sink.result is Failure.NOT_SENT
 
 
-def test_interim_answers_are_passed_over(loop):
-    sink, _ = ask(loop, RawServer(b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE))
+def test_interim_responses_are_skipped(loop):
+    sink, _ = send_request(loop, RawServer(b"HTTP/1.1 100 Continue\r\n\r\n" + COMPLETE))
     assert sink.body == b"good"
 
 
-def test_keep_alive_is_read(loop):
-    answer = WHOLE.replace(b"Id: own", b"Id: own\r\nKeep-Alive: timeout=7, max=3")
-    _, connection = ask(loop, RawServer(answer))
+def test_the_keep_alive_timeout_is_parsed(loop):
+    answer = COMPLETE.replace(b"Id: own", b"Id: own\r\nKeep-Alive: timeout=7, max=3")
+    _, connection = send_request(loop, RawServer(answer))
     assert connection.keep_alive_s == 7.0
 
 
-def test_fetch_gives_up_in_time(loop):
+def test_fetch_fails_after_its_timeout(loop):
     server = socket.create_server(("127.0.0.1", 0))
     done, results = threading.Event(), []
 
-    def take(response, reason):
+    def on_done(response, reason):
         results.append((response, reason))
         done.set()
 
     address = Address(*server.getsockname())
-    loop.call_soon(lambda: fetch(loop, address, REQUEST, 0.2, take))
+    loop.call_soon(lambda: fetch(loop, address, REQUEST, 0.2, on_done))
     assert done.wait(5)
     assert results[0][0] is None and "0.2 s" in results[0][1]
     server.close()
--- a/tests/test_net/test_server.py
+++ b/tests/test_net/test_server.py
@@ -1,4 +1,4 @@
-"""Requests of callers: well-formed, smuggled, oversized, slow, pipelined."""
+"""Requests of callers: well-formed, smuggled, over the limits, slow, pipelined."""
 
 import time
 
@@ -25,18 +25,18 @@
 )
 
 
-def test_answers_kept_and_pipelined_requests_in_order(server):
+def test_responds_to_pipelined_requests_in_order(server):
     data = server.exchange(GET + POST + CHUNKED + GET)
-    answers = [part for part in data.split(b"HTTP/1.1 200 OK") if part]
-    assert len(answers) == 4
-    assert answers[0].endswith(b"GET /a?b=c ")
-    assert answers[1].endswith(b"POST /p abc")
-    assert answers[2].endswith(b"POST /c abcde")
-    assert answers[3].endswith(b"GET /a?b=c ")
+    responses = [part for part in data.split(b"HTTP/1.1 200 OK") if part]
+    assert len(responses) == 4
+    assert responses[0].endswith(b"GET /a?b=c ")
+    assert responses[1].endswith(b"POST /p abc")
+    assert responses[2].endswith(b"POST /c abcde")
+    assert responses[3].endswith(b"GET /a?b=c ")
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 33])
-def test_any_cut_of_the_bytes_gives_the_same_answers(server, size):
+def test_responses_do_not_depend_on_segment_boundaries(server, size):
     data = POST + GET
     pieces = [data[start : start + size] for start in range(0, len(data), size)]
     answer = server.exchange(*pieces, pause_s=0.002)
@@ -76,7 +76,9 @@
         ),
     ],
 )
-def test_refuses_what_is_no_single_request(server, request_bytes, status):
+def test_refuses_malformed_ambiguous_and_oversized_requests(
+    server, request_bytes, status
+):
     data = server.exchange(request_bytes + GET)
     assert data.startswith(f"HTTP/1.1 {status} ".encode())
     assert b"Connection: close" in data and data.count(b"HTTP/1.1") == 1
@@ -84,12 +86,12 @@
     assert server.refused[0][0] == status and server.refused[0][1]
 
 
-def test_a_request_inside_the_body_of_another_is_not_run(server):
-    inner = b"GET /inner HTTP/1.1\r\nHost: h\r\n\r\n"
+def test_a_request_inside_the_body_of_another_is_not_served(server):
+    smuggled = b"GET /inner HTTP/1.1\r\nHost: h\r\n\r\n"
     head = b"POST /outer HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
-    server.exchange(head % len(inner) + inner)
+    server.exchange(head % len(smuggled) + smuggled)
     assert [request.target for request in server.requests] == ["/outer"]
-    assert server.requests[0].body == inner
+    assert server.requests[0].body == smuggled
 
 
 def test_slow_headers_are_refused(server):
@@ -102,7 +104,7 @@
     assert data.startswith(b"HTTP/1.1 408 ")
 
 
-def test_idle_connections_are_kept_for_the_idle_time_and_then_closed(server):
+def test_idle_connections_are_closed_after_the_idle_time(server):
     with server.connect() as sock:
         sock.sendall(GET)
         assert b"200 OK" in read_all(sock, 0.3)
@@ -112,59 +114,59 @@
         assert sock.recv(10) == b""
 
 
-def test_a_caller_that_leaves_is_seen_at_once():
-    gone = []
+def test_a_disconnect_of_the_caller_is_detected_at_once():
+    disconnect_times = []
 
-    def hold(harness, connection, _request):
-        connection.on_gone = lambda: gone.append(time.monotonic())
+    def hold_request(harness, connection, _request):
+        connection.on_gone = lambda: disconnect_times.append(time.monotonic())
 
-    harness = Harness(hold)
+    harness = Harness(hold_request)
     sock = harness.connect()
     sock.sendall(GET)
     time.sleep(0.1)
     closed_at = time.monotonic()
     sock.close()
     deadline = closed_at + 2
-    while not gone and time.monotonic() < deadline:
+    while not disconnect_times and time.monotonic() < deadline:
         time.sleep(0.01)
-    assert gone and gone[0] - closed_at < 0.5
+    assert disconnect_times and disconnect_times[0] - closed_at < 0.5
     harness.close()
 
 
-def test_a_stream_without_its_end_does_not_look_complete():
-    def cut(harness, connection, _request):
+def test_an_aborted_stream_does_not_look_complete():
+    def abort_stream(harness, connection, _request):
         from berylnotch.net.messages import Headers
 
         connection.start_stream(200, Headers())
         connection.send_piece(b"part")
         harness.loop.call_later(0.05, connection.abort)
 
-    harness = Harness(cut)
+    harness = Harness(abort_stream)
     data = harness.exchange(GET)
     assert b"part" in data and not data.endswith(b"0\r\n\r\n")
     harness.close()
 
 
-def test_draining_closes_each_connection_after_its_answer(server):
+def test_draining_closes_each_connection_after_its_response(server):
     server.server.is_draining = True
     data = server.exchange(GET)
     assert b"200 OK" in data and b"Connection: close" in data
 
 
-def test_a_body_that_trickles_is_refused(server):
+def test_a_body_below_the_minimum_rate_is_refused(server):
     head = b"POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n\r\n"
     data = server.exchange(head, *[b"x"] * 16, pause_s=0.1)
     assert b" 408 " in data and server.refused == [(408, "body took too long")]
 
 
-def test_a_caller_that_does_not_read_its_answer_is_given_up(monkeypatch):
+def test_a_caller_that_does_not_read_its_response_is_disconnected(monkeypatch):
     monkeypatch.setattr(net_server, "_MIN_BYTES_PER_S", 1e9)
 
-    def huge(_harness, connection, _request):
+    def send_large_response(_harness, connection, _request):
         connection.respond(200, Headers(), b"x" * 40_000_000)
 
     limits = HttpLimits(idle_s=0.5)
-    harness = Harness(huge, limits)
+    harness = Harness(send_large_response, limits)
     try:
         sock = harness.connect()
         sock.sendall(GET)
--- a/tests/test_transport/test_codec.py
+++ b/tests/test_transport/test_codec.py
@@ -9,13 +9,19 @@
 from berylnotch.control.events import VersionedEvent
 from berylnotch.control.protocol import SyncReply
 from berylnotch.errors import CodecError
-from berylnotch.transport.codec import _schema, camel, decode, encode, message_classes
+from berylnotch.transport.codec import (
+    _schema,
+    decode,
+    encode,
+    message_classes,
+    schema_name,
+)
 
 
 @pytest.mark.parametrize("cls", message_classes(), ids=lambda cls: cls.__name__)
 def test_schema_matches_class(cls):
     struct = getattr(_schema, cls.__name__).schema
-    assert set(struct.fieldnames) == {camel(f.name) for f in attrs.fields(cls)}
+    assert set(struct.fieldnames) == {schema_name(f.name) for f in attrs.fields(cls)}
 
 
 def test_nested_optional_round_trip():
@@ -35,7 +41,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_garbage_is_an_error(data):
+def test_random_bytes_raise_only_codec_errors(data):
     for packed in (False, True):
         try:
             decode(data, packed)
--- a/tests/test_transport/test_link.py
+++ b/tests/test_transport/test_link.py
@@ -1,4 +1,4 @@
-"""A link whose connection does not come about."""
+"""Timeout of links whose connection is not established."""
 
 import pytest
 
@@ -10,14 +10,14 @@
 
 
 class LinkLoop(Clock):
-    """A clock that also takes sockets to watch."""
+    """Fake clock and loop that accepts and ignores sockets."""
 
     def watch(self, sock, events, call):
-        """Take a socket."""
+        """Ignore the socket."""
 
 
-class Sock:
-    """A socket that takes bytes from a given moment on."""
+class FakeSocket:
+    """Fake socket that accepts bytes from the time ``connected_at`` on."""
 
     def __init__(self, loop, connected_at):
         self._loop, self._connected_at = loop, connected_at
@@ -38,11 +38,11 @@
     return loop
 
 
-def open_with(loop, connected_at):
+def open_link_connected_at(loop, connected_at):
     reasons = []
     link = Link(
         loop,
-        Sock(loop, connected_at),
+        FakeSocket(loop, connected_at),
         "10.0.0.1:1",
         (),
         lambda link, message: None,
@@ -53,16 +53,16 @@
     return link, reasons
 
 
-def test_a_connection_that_does_not_come_about_is_given_up_soon(loop):
+def test_a_link_is_closed_if_it_is_not_connected_in_time(loop):
     start = loop.now
-    _, reasons = open_with(loop, connected_at=start + 10)
+    _, reasons = open_link_connected_at(loop, connected_at=start + 10)
     loop.advance(SETTINGS.silence_s)
-    ((reason, at),) = reasons
+    ((reason, closed_at),) = reasons
     assert reason.startswith("not connected")
-    assert at - start == pytest.approx(SETTINGS.connect_s)
+    assert closed_at - start == pytest.approx(SETTINGS.connect_s)
 
 
-def test_a_connected_peer_may_be_silent_for_longer(loop):
-    link, reasons = open_with(loop, connected_at=0.0)
+def test_a_connected_peer_may_be_silent_beyond_the_connect_timeout(loop):
+    link, reasons = open_link_connected_at(loop, connected_at=0.0)
     loop.advance(SETTINGS.connect_s + 0.1)
     assert reasons == [] and not link.is_closed
--- a/tests/test_transport/test_packing.py
+++ b/tests/test_transport/test_packing.py
@@ -1,4 +1,4 @@
-"""MessagePack codec and frames without proof of identity."""
+"""MessagePack codec and framing without authentication."""
 
 import zlib
 
@@ -34,17 +34,17 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_messages_come_back_as_they_were(message):
+def test_message_round_trip(message):
     assert unpack(pack(message), CONTROLLER_MESSAGES) == message
 
 
-def test_nested_messages_of_routers_come_back():
+def test_nested_message_round_trip():
     target = ListedTarget("t", "s", "h:1", "d", models=(ModelVersion("m", 2),))
     update = TargetsUpdate((TargetEntry(target, True),), (NamedWeights("m", 3, 5),))
     assert unpack(pack(update), ROUTER_MESSAGES) == update
 
 
-def test_a_large_table_is_compressed_and_comes_back():
+def test_large_table_round_trip_is_compressed():
     entries = tuple(
         TargetEntry(
             ListedTarget(f"i-{n:08x}", "llm", f"10.0.{n // 200}.{n % 200}:8080", "d")
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("spoil", ["cut", "more", "bomb"])
-def test_spoiled_compressed_messages_are_refused(spoil):
+def test_malformed_compressed_messages_are_refused(spoil):
     data = pack(ConfigurationUpdate(1, b"x" * 100_000))
     if spoil == "cut":
         data = data[:-5]
@@ -70,25 +70,25 @@
         unpack(data, ROUTER_MESSAGES)
 
 
-def test_members_are_read_in_the_old_form_as_well():
+def test_members_in_the_old_encoding_are_decoded():
     members = consensus.Members((consensus.Member("a", "a/1", "h:1"),))
     assert decode_members(encode_members(members)) == members
     assert decode_members(encode(members)) == members
 
 
 @given(st.binary(max_size=200))
-def test_bytes_of_strangers_are_refused(data):
+def test_random_bytes_are_refused(data):
     with pytest.raises(CodecError):
         unpack(data, CONTROLLER_MESSAGES)
 
 
-def test_messages_for_others_are_refused():
+def test_messages_of_unexpected_classes_are_refused():
     with pytest.raises(CodecError):
         unpack(pack(ConfigurationUpdate(1, b"")), CONTROLLER_MESSAGES)
 
 
 @given(st.integers(1, 40))
-def test_frames_survive_any_cut(size):
+def test_frames_do_not_depend_on_segment_boundaries(size):
     sender = PlainSession("x", CONTROLLER_MESSAGES)
     for message in MESSAGES:
         sender.send(0, False, message)
@@ -100,6 +100,6 @@
     assert received == MESSAGES
 
 
-def test_a_frame_over_the_bound_ends_the_link():
+def test_a_frame_over_the_limit_is_refused():
     with pytest.raises(TransportError):
         PlainSession("x", ()).feed(b"\xff" * 9)
--- a/tests/test_transport/test_peers.py
+++ b/tests/test_transport/test_peers.py
@@ -29,16 +29,16 @@
 
 @pytest.fixture
 def listener(loop):
-    def answer(identity, _message, reply):
+    def show_identity(identity, _message, reply):
         reply(ShowReply(1, identity))
 
-    listener = Listener(loop, Address("127.0.0.1", 0), key_of, answer)
+    listener = Listener(loop, Address("127.0.0.1", 0), key_of, show_identity)
     listener.start()
     yield listener
     listener.close()
 
 
-def test_call_and_answer(loop, listener):
+def test_call_and_reply(loop, listener):
     peers = Peers(loop, "vm/r1", key_of)
     futures = [
         peers.call(str(listener.address), ShowRequest(), 10.0) for _ in range(20)
@@ -47,7 +47,7 @@
     peers.close()
 
 
-def test_nobody_listens(loop):
+def test_call_to_a_closed_port_fails(loop):
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{sock.getsockname()[1]}"
@@ -56,7 +56,7 @@
             peers.call(address, ShowRequest(), 10.0).result(10)
 
 
-def test_stranger_changes_nothing(loop, listener):
+def test_unauthenticated_bytes_do_not_affect_other_connections(loop, listener):
     with socket.create_connection(listener.address.pair, 10) as sock:
         sock.sendall(b"GET / HTTP/1.1\r\n\r\n" * 100)
         while True:
@@ -70,7 +70,7 @@
     peers.close()
 
 
-def test_client_goes_past_a_dead_controller(listener):
+def test_client_skips_an_unreachable_controller(listener):
     addresses = ("127.0.0.1:1", str(listener.address))
     client = Client(addresses, "operator/asha", key_of("operator/asha"))
     client.start()
--- a/tests/test_transport/test_session.py
+++ b/tests/test_transport/test_session.py
@@ -21,7 +21,7 @@
     return acceptor, connector
 
 
-def shake(acceptor, connector):
+def complete_handshake(acceptor, connector):
     for _ in range(3):
         connector.feed(acceptor.take_output())
         acceptor.feed(connector.take_output())
@@ -29,19 +29,19 @@
 
 def test_both_sides_prove_identity():
     acceptor, connector = make_pair()
-    shake(acceptor, connector)
+    complete_handshake(acceptor, connector)
     assert acceptor.is_open and connector.is_open
     assert acceptor.identity == "vm/r1"
 
 
-def test_other_secret_is_refused():
+def test_connector_with_another_secret_is_refused():
     acceptor, connector = make_pair(secret=b"some other secret here")
     connector.feed(acceptor.take_output())
     with pytest.raises(HandshakeError):
         acceptor.feed(connector.take_output())
 
 
-def test_operator_key_does_not_open_a_vm_identity():
+def test_operator_key_does_not_prove_a_vm_identity():
     key = identity_key(SECRET, "operator/asha")
     acceptor = Session("", lambda name: identity_key(SECRET, name), accepting=True)
     connector = Session("vm/r1", lambda _name: key, accepting=False)
@@ -52,7 +52,7 @@
 
 def test_replayed_frame_is_refused():
     acceptor, connector = make_pair()
-    shake(acceptor, connector)
+    complete_handshake(acceptor, connector)
     connector.send(1, False, ShowRequest())
     frame = connector.take_output()
     assert len(acceptor.feed(frame)) == 1
@@ -61,7 +61,7 @@
 
 
 @given(st.binary(min_size=1, max_size=2000))
-def test_stranger_bytes_never_open_a_connection(data):
+def test_random_bytes_never_open_a_connection(data):
     acceptor, _ = make_pair()
     try:
         assert acceptor.feed(data) == []
@@ -71,15 +71,15 @@
 
 
 @given(st.lists(st.integers(1, 40), max_size=30))
-def test_any_cut_of_the_bytes_gives_the_same_messages(cuts):
+def test_messages_do_not_depend_on_segment_boundaries(cuts):
     acceptor, connector = make_pair()
-    shake(acceptor, connector)
+    complete_handshake(acceptor, connector)
     for number in range(1, 4):
         connector.send(number, False, ShowRequest())
     data = connector.take_output()
     received = []
-    for cut in cuts:
-        received += acceptor.feed(data[:cut])
-        data = data[cut:]
+    for size in cuts:
+        received += acceptor.feed(data[:size])
+        data = data[size:]
     received += acceptor.feed(data)
     assert [envelope.call for envelope, _ in received] == [1, 2, 3]
