--- a/berylnotch/gateways/__init__.py
+++ b/berylnotch/gateways/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each system outside: engines, services, platform."""
+"""Clients of external systems: engines, plain services, stores and the platform."""
--- a/berylnotch/gateways/answers.py
+++ b/berylnotch/gateways/answers.py
@@ -1,4 +1,4 @@
-"""Answers of systems outside, checked and turned into values."""
+"""Decoding of JSON responses of external systems into checked values."""
 
 from __future__ import annotations
 
@@ -9,46 +9,53 @@
 
 from berylnotch.gateways.errors import BadAnswerError, BusyError
 
-#: Longest answer read, in bytes.
-MAX_ANSWER_BYTES = 4 * 1024 * 1024
-_OK = 200
-_BUSY = frozenset((429, 503))
+#: Largest response body that is decoded, in bytes.
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+_OK_STATUS = 200
+_BUSY_STATUSES = frozenset((429, 503))
 
 _T = TypeVar("_T")
 _converter = cattrs.Converter()
 
 
-def _exactly(value: object, cls: type) -> object:
-    """Return a JSON value of the type wanted; cattrs would convert others."""
-    is_number = cls is float and type(value) is int
-    if type(value) is not cls and not is_number:
+def _structure_scalar(value: object, cls: type) -> object:
+    """Return a JSON scalar that already has the type ``cls``.
+
+    An integer is accepted as a float. Without this hook, cattrs converts values of
+    other types.
+    """
+    is_int_as_float = cls is float and type(value) is int
+    if type(value) is not cls and not is_int_as_float:
         raise ValueError(f"expected {cls.__name__}, not {type(value).__name__}")
     return cls(value)
 
 
-for _scalar in (bool, int, float, str):
-    _converter.register_structure_hook(_scalar, _exactly)
+for _scalar_type in (bool, int, float, str):
+    _converter.register_structure_hook(_scalar_type, _structure_scalar)
 
 
-def read_answer(cls: type[_T], status: int, body: bytes) -> _T:
-    """Return the value of ``cls`` that an answer's JSON object holds.
+def decode_response(cls: type[_T], status: int, body: bytes) -> _T:
+    """Decode the JSON object in a response body to a value of ``cls``.
 
-    Fields that ``cls`` doesn't know are ignored.
+    Fields that ``cls`` does not have are ignored.
 
     Raises
     ------
     BusyError
-        If the system asks to be left alone for a while.
+        If the status is 429 or 503, which ask for fewer requests.
     BadAnswerError
-        If the status isn't 200 or the body doesn't hold such a value.
+        If the response has another status than 200, the body is too large, or it
+        does not decode to ``cls``.
     """
-    if status in _BUSY:
-        raise BusyError(f"busy: status {status}")
-    if status != _OK:
-        raise BadAnswerError(f"status {status}")
-    if len(body) > MAX_ANSWER_BYTES:
-        raise BadAnswerError(f"answer exceeds {MAX_ANSWER_BYTES} bytes")
+    if status in _BUSY_STATUSES:
+        raise BusyError(f"system is overloaded: response status {status}")
+    if status != _OK_STATUS:
+        raise BadAnswerError(f"unexpected response status {status}")
+    if len(body) > MAX_RESPONSE_BYTES:
+        raise BadAnswerError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
     try:
         return _converter.structure(json.loads(body), cls)
     except (ValueError, TypeError, RecursionError, cattrs.BaseValidationError) as error:
-        raise BadAnswerError(f"not a {cls.__name__}: {error}") from error
+        raise BadAnswerError(
+            f"response is not a valid {cls.__name__}: {error}"
+        ) from error
--- a/berylnotch/gateways/cache_events.py
+++ b/berylnotch/gateways/cache_events.py
@@ -1,4 +1,4 @@
-"""Cache events of engines."""
+"""Requests for the cache events of engines, and their responses."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from attrs import frozen
 
-from berylnotch.gateways.answers import read_answer
+from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.engine import EngineAddress, credential_headers
 from berylnotch.gateways.errors import BadAnswerError
 from berylnotch.gateways.http import UpstreamRequest
 
-#: Path of the events at an engine.
+#: Path at which an engine serves its cache events.
 CACHE_EVENTS_PATH = "/standin/cache-events"
 
 
 class CacheEventKind(Enum):
-    """What happened to a block."""
+    """Change of a block in an engine's cache."""
 
     STORED = "stored"
     REMOVED = "removed"
@@ -24,16 +24,16 @@
 
 @frozen
 class CacheEvent:
-    """One event.
+    """One change of an engine's cache.
 
     Attributes
     ----------
     sequence : int
-        Number in the stream of the engine's incarnation, from 1.
+        Sequence number in the engine's incarnation, from 1.
     kind : CacheEventKind
-        What happened.
+        Change of the block.
     block : bytes
-        Hash of the prefix that ends with the block.
+        Hash of the prompt prefix that ends with the block.
     """
 
     sequence: int
@@ -43,45 +43,45 @@
 
 @frozen
 class CacheEvents:
-    """Events of one incarnation of an engine, in order.
+    """Events of one incarnation of an engine, by increasing sequence number.
 
     Attributes
     ----------
     incarnation, weights : str
-        Process and weights version that the events belong to.
-    last : int
-        Number of the engine's newest event.
+        Incarnation and weights version that the events belong to.
+    last_sequence : int
+        Sequence number of the engine's newest event.
     events : tuple of CacheEvent
-        Events after the number asked for; some may be missing.
+        Events after the requested sequence number; some may be missing.
     """
 
     incarnation: str
     weights: str
-    last: int
+    last_sequence: int
     events: tuple[CacheEvent, ...]
 
 
 @frozen
-class _Record:
+class _EventRecord:
     sequence: int
     kind: CacheEventKind
     block: str
 
 
 @frozen
-class _Answer:
+class _EventsResponse:
     incarnation: str
     weights: str
     last: int
-    events: tuple[_Record, ...]
+    events: tuple[_EventRecord, ...]
 
 
 def build_cache_events(
-    engine: EngineAddress, after: int, timeout_s: float
+    engine: EngineAddress, after_sequence: int, timeout_s: float
 ) -> UpstreamRequest:
-    """Build the request for the events after a number."""
+    """Build the request for the events after a sequence number."""
     return UpstreamRequest(
-        url=f"http://{engine.address}{CACHE_EVENTS_PATH}?after={after}",
+        url=f"http://{engine.address}{CACHE_EVENTS_PATH}?after={after_sequence}",
         method="GET",
         headers=credential_headers(engine.credential),
         body=b"",
@@ -90,18 +90,22 @@
 
 
 def read_cache_events(status: int, body: bytes) -> CacheEvents:
-    """Read events; raises `BadAnswerError` or `BusyError`."""
-    answer = read_answer(_Answer, status, body)
-    events = tuple(_event(record) for record in answer.events)
+    """Decode cache events; raises `BadAnswerError` or `BusyError`."""
+    response = decode_response(_EventsResponse, status, body)
+    events = tuple(_decode_event(record) for record in response.events)
     for earlier, later in zip(events, events[1:], strict=False):
         if later.sequence <= earlier.sequence:
-            raise BadAnswerError("cache events out of order")
-    return CacheEvents(answer.incarnation, answer.weights, answer.last, events)
+            raise BadAnswerError(
+                "cache events are not in the order of their sequence numbers"
+            )
+    return CacheEvents(response.incarnation, response.weights, response.last, events)
 
 
-def _event(record: _Record) -> CacheEvent:
+def _decode_event(record: _EventRecord) -> CacheEvent:
     try:
         block = bytes.fromhex(record.block)
     except ValueError as error:
-        raise BadAnswerError("block hash isn't hexadecimal") from error
+        raise BadAnswerError(
+            "block hash in a cache event is not hexadecimal"
+        ) from error
     return CacheEvent(record.sequence, record.kind, block)
--- a/berylnotch/gateways/engine.py
+++ b/berylnotch/gateways/engine.py
@@ -1,4 +1,4 @@
-"""Generation requests to model engines and the heads of their answers."""
+"""Generation requests to model engines and the heads of their responses."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from berylnotch.gateways.http import (
     REQUEST_ID_HEADER,
     UpstreamRequest,
-    check_body,
     read_head,
+    reject_key_in_body,
 )
 from berylnotch.streams.actions import Header
 from berylnotch.streams.inputs import ResponseHead
 
 #: Paths of an engine that callers can reach.
 GENERATION_PATHS = frozenset(("/v1/chat/completions", "/v1/completions"))
-#: Keeps an organisation's cache entries apart from those of others.
+#: Scope of cache entries, which separates the entries of organisations.
 CACHE_SCOPE_HEADER = "x-cache-scope"
-#: Lowest goes first in an engine's queue.
+#: Priority in an engine's queue; the lowest value is served first.
 PRIORITY_HEADER = "x-priority"
-#: Number of the last event that must not be sent again.
+#: Number of the last event that the caller has; the engine resumes after it.
 RESUME_HEADER = "x-resume-after"
 
-_VISIBLE = frozenset(("content-type", "cache-control", "retry-after"))
+_FORWARDED_HEADERS = frozenset(("content-type", "cache-control", "retry-after"))
 
 
 @frozen
 class EngineAddress:
-    """How to reach one engine.
+    """Address and credential of one target.
 
     Attributes
     ----------
@@ -47,7 +47,7 @@
 
 @frozen
 class GenerationRequest:
-    """A caller's generation request, as far as an engine sees it.
+    """Part of a caller's generation request that is sent to an engine.
 
     Attributes
     ----------
@@ -58,13 +58,13 @@
     request_id : str
         Identifier that the engine echoes.
     cache_scope : str
-        Opaque name under which the engine caches the prompt.
+        Opaque scope of the engine's cache entries for the prompt.
     stream : bool
-        Whether events are asked for.
+        Whether the response is a stream of events.
     priority : int
-        Place in the engine's queue, lowest first.
+        Priority in the engine's queue; the lowest value is served first.
     caller_key : str
-        Key that the engine must not see.
+        The caller's key, which must not reach the engine.
     """
 
     path: str
@@ -87,11 +87,12 @@
     Raises
     ------
     ForbiddenRequestError
-        If the path isn't one of callers, or the body holds the caller's key.
+        If the path is not one of `GENERATION_PATHS`, or the body contains the
+        caller's key.
     """
     if request.path not in GENERATION_PATHS:
         raise ForbiddenRequestError("path can't be reached by callers")
-    check_body(request.body, request.caller_key)
+    reject_key_in_body(request.body, request.caller_key)
     accept = "text/event-stream" if request.stream else "application/json"
     headers = [
         Header("content-type", "application/json"),
@@ -113,28 +114,28 @@
 
 
 def credential_headers(credential: str) -> tuple[Header, ...]:
-    """Return the field that carries a target's own credential."""
+    """Return the header that carries a target's own credential, if it has one."""
     if not credential:
         return ()
     return (Header("authorization", f"Bearer {credential}"),)
 
 
 def read_engine_head(lines: Iterable[bytes]) -> ResponseHead:
-    """Read the head of an engine's answer; raises `BadAnswerError`."""
-    return read_head(lines, _VISIBLE)
+    """Decode the head of an engine's response; raises `BadAnswerError`."""
+    return read_head(lines, _FORWARDED_HEADERS)
 
 
 def is_whole_answer(body: bytes) -> bool:
-    """Whether a body is a whole generation: valid JSON with a choice."""
+    """Whether a body is a complete generation: a JSON object with choices."""
     try:
-        answer = json.loads(body)
+        response = json.loads(body)
     except ValueError:
         return False
-    return isinstance(answer, dict) and bool(answer.get("choices"))
+    return isinstance(response, dict) and bool(response.get("choices"))
 
 
 def completion_tokens(body: bytes) -> int:
-    """Return the generated tokens that a whole answer counts; 0 if it doesn't."""
+    """Return the generated tokens that a response reports, 0 if it reports none."""
     try:
         return int(json.loads(body)["usage"]["completion_tokens"])
     except (ValueError, KeyError, TypeError):
--- a/berylnotch/gateways/errors.py
+++ b/berylnotch/gateways/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the gateways."""
+"""Errors of requests to external systems."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 
 
 class ForbiddenRequestError(GatewayError):
-    """A caller's request may not be passed on as it is; nothing was run."""
+    """A caller's request must not be forwarded; no target has executed it."""
 
 
 class BadAnswerError(GatewayError):
-    """A system outside answered something that can't be read."""
+    """The response of an external system cannot be decoded."""
 
 
 class BusyError(GatewayError):
-    """A system outside wants fewer requests for a while."""
+    """An external system is overloaded and asks for fewer requests."""
 
 
 class OldFenceError(GatewayError):
-    """An engine refused an order, because it has seen a higher fencing number."""
+    """An engine refused an order because it has seen a higher fencing token."""
 
 
 class UnreachableError(GatewayError):
-    """A system outside could not be reached or did not finish its answer.
+    """An external system was unreachable or did not complete its response.
 
     Parameters
     ----------
     message : str
-        What was seen.
+        Description of the failure.
     sent : bool
-        Whether any byte of the request may have arrived.
+        Whether any byte of the request may have reached the system.
     """
 
     def __init__(self, message: str, sent: bool) -> None:
--- a/berylnotch/gateways/fetch.py
+++ b/berylnotch/gateways/fetch.py
@@ -1,4 +1,4 @@
-"""Whole answers of systems outside, fetched in the event loop."""
+"""Requests to external systems whose complete responses are decoded."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from berylnotch.errors import GatewayError
-from berylnotch.gateways.answers import MAX_ANSWER_BYTES
+from berylnotch.gateways.answers import MAX_RESPONSE_BYTES
 from berylnotch.gateways.errors import BadAnswerError, UnreachableError
 from berylnotch.gateways.http import read_head
 
@@ -16,46 +16,49 @@
 
 T = TypeVar("T")
 
-#: Reads an answer from its status and body; raises `GatewayError`.
+#: Decodes a response from its status and body; raises `GatewayError`.
 Read = Callable[[int, bytes], T]
 
-#: Gets the answer that was read, or the error.
+#: Called with the decoded response, or with the error.
 OnDone = Callable[[T | None, GatewayError | None], None]
 
 
-class _Fetch:
-    """One request and the parts of its answer."""
+class _ResponseCollector:
+    """Collects the parts of one response and decodes them at its end."""
 
     def __init__(self, read: Read[T], on_done: OnDone[T]) -> None:
         self._read = read
         self._on_done = on_done
-        self._lines: tuple[bytes, ...] = ()
+        self._head_lines: tuple[bytes, ...] = ()
         self._body = bytearray()
 
     def on_head(self, lines: tuple[bytes, ...]) -> None:
-        """Keep the head."""
-        self._lines = lines
+        """Store the head."""
+        self._head_lines = lines
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body, up to one byte more than is allowed."""
-        room = MAX_ANSWER_BYTES + 1 - len(self._body)
-        self._body += data[:room]
+        """Store a part of the body, up to one byte above the limit.
+
+        The extra byte shows at the end that the body is too large.
+        """
+        remaining_bytes = MAX_RESPONSE_BYTES + 1 - len(self._body)
+        self._body += data[:remaining_bytes]
 
     def on_end(self, end: TransferEnd) -> None:
-        """Read the answer and hand it on."""
+        """Decode the response and pass it, or the error, to the callback."""
         try:
-            answer = self._finish(end)
+            value = self._decode(end)
         except GatewayError as error:
             self._on_done(None, error)
         else:
-            self._on_done(answer, None)
+            self._on_done(value, None)
 
-    def _finish(self, end: TransferEnd) -> T:
+    def _decode(self, end: TransferEnd) -> T:
         if end.error:
             raise UnreachableError(end.error, end.sent)
-        if len(self._body) > MAX_ANSWER_BYTES:
-            raise BadAnswerError(f"answer exceeds {MAX_ANSWER_BYTES} bytes")
-        head = read_head(self._lines, frozenset())
+        if len(self._body) > MAX_RESPONSE_BYTES:
+            raise BadAnswerError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
+        head = read_head(self._head_lines, frozenset())
         return self._read(head.status, bytes(self._body))
 
 
@@ -65,18 +68,20 @@
     read: Read[T],
     on_done: OnDone[T],
 ) -> None:
-    """Send a request and read its whole answer, in the loop's thread.
+    """Send a request and decode its complete response.
+
+    It must be called in the loop's thread, where ``on_done`` is called too.
 
     Parameters
     ----------
     upstreams : Upstreams
         Transfers of the process.
     request : UpstreamRequest
-        What to send.
+        Request to send.
     read : callable
-        Turns status and body into a value; raises `GatewayError`.
+        Decodes status and body to a value; raises `GatewayError`.
     on_done : callable
-        Gets the value, or the error.
+        Called with the value, or with the error.
     """
-    found = _Fetch(read, on_done)
-    upstreams.start(request, found.on_head, found.on_body, found.on_end)
+    collector = _ResponseCollector(read, on_done)
+    upstreams.start(request, collector.on_head, collector.on_body, collector.on_end)
--- a/berylnotch/gateways/http.py
+++ b/berylnotch/gateways/http.py
@@ -1,4 +1,4 @@
-"""Requests to targets and the heads of their answers."""
+"""HTTP requests to targets and the heads of their responses."""
 
 from __future__ import annotations
 
@@ -12,23 +12,26 @@
 from berylnotch.streams.actions import Header
 from berylnotch.streams.inputs import ResponseHead
 
-#: Identifier of a request, which the target echoes.
+#: Identifier of a request, which the target repeats in its response.
 REQUEST_ID_HEADER = "x-request-id"
-#: Present in an answer whose target didn't run the request.
+#: Set to 1 in a response whose target did not execute the request.
 NOT_RUN_HEADER = "x-not-run"
-#: Identity of an engine's process.
+#: Incarnation of an engine: identity of its process.
 INCARNATION_HEADER = "x-incarnation"
-#: Weights version that an engine answers with.
+#: Weights version that an engine used for its response.
 WEIGHTS_HEADER = "x-weights"
 
 _STATUS_LINE = re.compile(rb"HTTP/[0-9.]+ (\d{3})(?: |\r?\n|\Z)")
-_CONTROL = re.compile(r"[\x00-\x1f\x7f]")
-_SHORTEST_KEY = 8
+_CONTROL_CHARACTERS = re.compile(r"[\x00-\x1f\x7f]")
+_MIN_KEY_LENGTH = 8
 
 
 @frozen
 class UpstreamRequest:
-    """A request to a target, built anew and never copied from a caller's.
+    """A request to a target.
+
+    It has no header that was not chosen explicitly: the headers of a caller's request
+    are never copied as a whole.
 
     Attributes
     ----------
@@ -37,11 +40,11 @@
     method : str
         HTTP method.
     headers : tuple of Header
-        All header fields but host and content length.
+        All header fields except host and content length.
     body : bytes
         Request body.
     timeout_s : float
-        Time until the answer must be complete.
+        Time in seconds within which the response must be complete.
     """
 
     url: str
@@ -51,77 +54,83 @@
     timeout_s: float
 
 
-def pick_headers(
+def select_headers(
     headers: Mapping[str, str], allowed: Iterable[str], caller_key: str
 ) -> tuple[Header, ...]:
-    """Return the allowed fields that don't hold the caller's key.
+    """Return the allowed header fields that do not contain the caller's key.
+
+    Fields with control characters are left out too.
 
     Parameters
     ----------
     headers : mapping
-        The caller's fields by name in lower case.
+        Header fields of the caller's request, by name in lower case.
     allowed : iterable of str
-        Names in lower case.
+        Names of the allowed fields, in lower case.
     caller_key : str
-        Key that no target may see; empty on an open route.
+        The caller's key, which must not reach a target; empty on an open route.
     """
-    picked = []
+    selected = []
     for name in allowed:
         value = headers.get(name, "")
-        if not value or _CONTROL.search(value) or holds_key(value, caller_key):
+        if (
+            not value
+            or _CONTROL_CHARACTERS.search(value)
+            or contains_key(value, caller_key)
+        ):
             continue
-        picked.append(Header(name, value))
-    return tuple(picked)
+        selected.append(Header(name, value))
+    return tuple(selected)
 
 
-def holds_key(text: str, caller_key: str) -> bool:
-    """Whether text holds the caller's key, plainly or percent-encoded."""
-    if len(caller_key) < _SHORTEST_KEY:
+def contains_key(text: str, caller_key: str) -> bool:
+    """Whether text contains the caller's key, plain or percent-encoded."""
+    if len(caller_key) < _MIN_KEY_LENGTH:
         return False
     return caller_key in text or caller_key in unquote_plus(text)
 
 
-def check_body(body: bytes, caller_key: str) -> None:
-    """Raise `ForbiddenRequestError` if a body holds the caller's key."""
-    if len(caller_key) >= _SHORTEST_KEY and caller_key.encode() in body:
+def reject_key_in_body(body: bytes, caller_key: str) -> None:
+    """Raise `ForbiddenRequestError` if a body contains the caller's key."""
+    if len(caller_key) >= _MIN_KEY_LENGTH and caller_key.encode() in body:
         raise ForbiddenRequestError("the request's body holds the caller's key")
 
 
-def read_head(lines: Iterable[bytes], visible: frozenset[str]) -> ResponseHead:
-    """Read an answer's status line and header fields.
+def read_head(lines: Iterable[bytes], forwarded: frozenset[str]) -> ResponseHead:
+    """Decode a response's status line and header fields.
 
     Parameters
     ----------
     lines : iterable of bytes
-        Lines as curl passes them, the status line first.
-    visible : frozenset of str
-        Names, in lower case, of the fields that a caller may see.
+        Lines as pycurl passes them, the status line first.
+    forwarded : frozenset of str
+        Names, in lower case, of the fields that are forwarded to the caller.
 
     Raises
     ------
     BadAnswerError
         If the status line is malformed.
     """
-    status_line, *rest = list(lines) or [b""]
+    status_line, *header_lines = list(lines) or [b""]
     match = _STATUS_LINE.match(status_line)
     if match is None:
-        raise BadAnswerError("malformed status line")
+        raise BadAnswerError("response has a malformed status line")
     fields: dict[str, str] = {}
-    for line in rest:
+    for line in header_lines:
         name, _, value = line.decode("latin-1").partition(":")
         fields[name.strip().lower()] = value.strip()
-    shown = tuple(Header(n, v) for n, v in fields.items() if n in visible)
+    forwarded_headers = tuple(Header(n, v) for n, v in fields.items() if n in forwarded)
     return ResponseHead(
         status=int(match.group(1)),
-        headers=shown,
+        headers=forwarded_headers,
         content_type=fields.get("content-type", "").partition(";")[0].strip().lower(),
         request_id=fields.get(REQUEST_ID_HEADER, ""),
         weights=fields.get(WEIGHTS_HEADER, ""),
         incarnation=fields.get(INCARNATION_HEADER, ""),
         not_run=fields.get(NOT_RUN_HEADER, "") == "1",
-        retry_after_s=_seconds(fields.get("retry-after", "")),
+        retry_after_s=_parse_seconds(fields.get("retry-after", "")),
     )
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     return float(text) if text.isascii() and text.isdigit() else 0.0
--- a/berylnotch/gateways/kvstore.py
+++ b/berylnotch/gateways/kvstore.py
@@ -1,4 +1,4 @@
-"""The store of kept KV cache, from which engines import prefixes."""
+"""Lookups in the KV store, from which engines import cached prefixes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from attrs import frozen
 
-from berylnotch.gateways.answers import read_answer
+from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.engine import EngineAddress, credential_headers
 from berylnotch.gateways.errors import BadAnswerError
 from berylnotch.gateways.http import UpstreamRequest
@@ -15,15 +15,15 @@
 
 
 @frozen
-class KeptPrefix:
-    """How much of a chain of prefix hashes the store holds.
+class StoredPrefix:
+    """Leading part of a chain of prefix hashes that the store holds.
 
     Attributes
     ----------
     pieces : int
-        Leading pieces held.
+        Number of leading prefixes of the chain that the store holds.
     weights : str
-        Weights version that made them.
+        Weights version that computed them.
     """
 
     pieces: int
@@ -33,7 +33,7 @@
 def build_lookup(
     store: EngineAddress, chain: Iterable[bytes], timeout_s: float
 ) -> UpstreamRequest:
-    """Build the question how much of a chain the store holds."""
+    """Build the request for the part of a chain that the store holds."""
     body = json.dumps({"chain": [prefix.hex() for prefix in chain]})
     headers = (Header("content-type", "application/json"),)
     return UpstreamRequest(
@@ -45,26 +45,28 @@
     )
 
 
-def read_lookup(status: int, body: bytes, weights: str, asked: int) -> int:
-    """Return the leading pieces that an engine with ``weights`` may import.
+def read_lookup(status: int, body: bytes, weights: str, chain_length: int) -> int:
+    """Return how many leading prefixes an engine with ``weights`` can import.
+
+    The result is 0 if another weights version computed the stored prefixes.
 
     Parameters
     ----------
     status : int
-        HTTP status.
+        HTTP status of the response.
     body : bytes
-        Body of the answer.
+        Body of the response.
     weights : str
         Weights version of the engine.
-    asked : int
-        Length of the chain that was asked for.
+    chain_length : int
+        Length of the chain in the request.
 
     Raises
     ------
     BadAnswerError, BusyError
-        If the answer can't be read.
+        If the response cannot be decoded.
     """
-    kept = read_answer(KeptPrefix, status, body)
-    if not 0 <= kept.pieces <= asked:
-        raise BadAnswerError("store holds more than was asked for")
-    return kept.pieces if kept.weights == weights else 0
+    stored = decode_response(StoredPrefix, status, body)
+    if not 0 <= stored.pieces <= chain_length:
+        raise BadAnswerError("KV store reports more prefixes than were requested")
+    return stored.pieces if stored.weights == weights else 0
--- a/berylnotch/gateways/load.py
+++ b/berylnotch/gateways/load.py
@@ -4,35 +4,36 @@
 
 from attrs import frozen
 
-from berylnotch.gateways.answers import read_answer
+from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.engine import EngineAddress, credential_headers
 from berylnotch.gateways.http import UpstreamRequest
 from berylnotch.membership.targets import LoadReport
 
-#: Path of the report at a target.
+#: Path at which a target serves its load report.
 LOAD_PATH = "/standin/load"
 
 
 @frozen
 class TargetLoad:
-    """A target's report on itself.
+    """Load report of a target.
 
     Attributes
     ----------
     incarnation : str
-        Identity of its process; empty for a plain service.
+        Identity of the target's process; empty for a plain service.
     weights : str
-        Weights version; empty if it has none.
+        Weights version of the target; empty if it has none.
     loading, leaving : bool
-        Whether it loads weights, or is about to leave.
+        Whether the target loads weights, or is about to leave.
     waiting, running, slots : int
-        Requests queued, running, and that run at once.
+        Number of queued requests, of running requests, and of requests that the
+        target can run concurrently.
     queue_wait_s : float
-        Time until a new request would run.
+        Expected time in seconds until a new request would start.
     age_s : float
-        Age of the report when it was sent.
+        Age of the report in seconds when the target sent it.
     fence : int
-        Highest fencing number that it has seen.
+        Highest fencing token that the target has seen.
     """
 
     incarnation: str = ""
@@ -48,7 +49,7 @@
 
 
 def build_load(target: EngineAddress, timeout_s: float) -> UpstreamRequest:
-    """Build the request for a target's report."""
+    """Build the request for a target's load report."""
     return UpstreamRequest(
         url=f"http://{target.address}{LOAD_PATH}",
         method="GET",
@@ -59,24 +60,24 @@
 
 
 def read_load(status: int, body: bytes) -> TargetLoad:
-    """Read a report; raises `BadAnswerError` or `BusyError`."""
-    return read_answer(TargetLoad, status, body)
+    """Decode a load report; raises `BadAnswerError` or `BusyError`."""
+    return decode_response(TargetLoad, status, body)
 
 
-def to_report(load: TargetLoad, asked_at: float) -> LoadReport:
-    """Return the report as placement takes it.
+def to_report(load: TargetLoad, requested_at: float) -> LoadReport:
+    """Convert a load report to the form that placement uses.
 
     Parameters
     ----------
     load : TargetLoad
-        The target's report.
-    asked_at : float
-        Time at which the request for it was sent, in seconds. The report is at
-        least as new as that, less its own age.
+        Report of the target.
+    requested_at : float
+        Time in seconds at which the report was requested. The target measured its
+        load at this time less the age of the report, or later.
     """
     return LoadReport(
         incarnation=load.incarnation,
-        measured_at=asked_at - max(0.0, load.age_s),
+        measured_at=requested_at - max(0.0, load.age_s),
         queue_wait_s=max(0.0, load.queue_wait_s),
         running=load.running,
         leaving=load.leaving,
--- a/berylnotch/gateways/orders.py
+++ b/berylnotch/gateways/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, fenced by the log index that committed them."""
+"""Orders to engines, with the log index of their commit as fencing token."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from attrs import frozen
 
-from berylnotch.gateways.answers import read_answer
+from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.engine import EngineAddress, credential_headers
 from berylnotch.gateways.errors import OldFenceError
 from berylnotch.gateways.http import UpstreamRequest
 from berylnotch.streams.actions import Header
 
-#: Path of the orders at an engine.
+#: Path at which an engine accepts orders.
 ORDERS_PATH = "/standin/orders"
 _CONFLICT = 409
 
 
 @frozen
 class OrderAnswer:
-    """An engine's answer to an order that it took.
+    """An engine's response to an order that it accepted.
 
     Attributes
     ----------
     fence : int
-        Highest fencing number that the engine has seen; 0 if it keeps none.
+        Highest fencing token that the engine has seen; 0 if it stores none.
     version : str
         Weights version that it will load.
     """
@@ -36,7 +36,7 @@
 def build_load_order(
     engine: EngineAddress, fence: int, version: str, timeout_s: float
 ) -> UpstreamRequest:
-    """Build the order to load a weights version."""
+    """Build the request that orders an engine to load a weights version."""
     order = {"kind": "load", "fence": fence, "version": version}
     headers = (Header("content-type", "application/json"),)
     return UpstreamRequest(
@@ -49,15 +49,15 @@
 
 
 def read_order_answer(status: int, body: bytes) -> OrderAnswer:
-    """Read the answer to an order.
+    """Decode the response to an order.
 
     Raises
     ------
     OldFenceError
-        If the engine has seen a higher fencing number.
+        If the engine has seen a higher fencing token.
     BadAnswerError, BusyError
-        If the answer can't be read.
+        If the response cannot be decoded.
     """
     if status == _CONFLICT:
         raise OldFenceError("engine has seen a higher fencing number")
-    return read_answer(OrderAnswer, status, body)
+    return decode_response(OrderAnswer, status, body)
--- a/berylnotch/gateways/plain.py
+++ b/berylnotch/gateways/plain.py
@@ -1,4 +1,4 @@
-"""Requests to plain services and the heads of their answers."""
+"""Requests to plain services and the heads of their responses."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from berylnotch.gateways.http import (
     REQUEST_ID_HEADER,
     UpstreamRequest,
-    check_body,
-    holds_key,
-    pick_headers,
+    contains_key,
     read_head,
+    reject_key_in_body,
+    select_headers,
 )
 from berylnotch.streams.actions import Header
 from berylnotch.streams.inputs import ResponseHead
 
-#: Fields of a caller's request that a plain service sees.
+#: Header fields of a caller's request that are forwarded to a plain service.
 ALLOWED_HEADERS = (
     "accept",
     "accept-language",
@@ -34,7 +34,7 @@
     "if-unmodified-since",
     "range",
 )
-_VISIBLE = frozenset(
+_FORWARDED_HEADERS = frozenset(
     (
         "accept-ranges",
         "allow",
@@ -68,19 +68,19 @@
     method : str
         HTTP method.
     path : str
-        Path as the service knows it, percent-encoded.
+        Percent-encoded path at the service.
     query : str
         Query without the question mark.
     headers : mapping
-        The caller's fields by name in lower case.
+        Header fields of the caller's request, by name in lower case.
     body : bytes
         Request body.
     request_id : str
-        Identifier that the service may echo.
+        Identifier that the service may repeat in its response.
     caller_key : str
-        Key that the service must not see.
+        The caller's key, which must not reach the service.
     reserved : tuple of str
-        Path prefixes that callers can't reach.
+        Path prefixes that callers must not reach.
     """
 
     method: str
@@ -98,16 +98,18 @@
 ) -> UpstreamRequest:
     """Build the request to a plain service.
 
+    Query parameters and header fields that contain the caller's key are left out.
+
     Raises
     ------
     ForbiddenRequestError
-        If method, path or query are malformed, the path is reserved, or path or
-        body hold the caller's key.
+        If the method is not allowed, the path or query is malformed, the path is
+        reserved, or the path or body contains the caller's key.
     """
-    _check_line(request)
-    check_body(request.body, request.caller_key)
-    query = _without_key(request.query, request.caller_key)
-    headers = pick_headers(request.headers, ALLOWED_HEADERS, request.caller_key)
+    _check_request_line(request)
+    reject_key_in_body(request.body, request.caller_key)
+    query = _drop_key_parameters(request.query, request.caller_key)
+    headers = select_headers(request.headers, ALLOWED_HEADERS, request.caller_key)
     headers += (Header(REQUEST_ID_HEADER, request.request_id),)
     headers += credential_headers(target.credential)
     suffix = f"?{query}" if query else ""
@@ -121,28 +123,28 @@
 
 
 def read_plain_head(lines: Iterable[bytes]) -> ResponseHead:
-    """Read the head of a plain service's answer; raises `BadAnswerError`."""
-    return read_head(lines, _VISIBLE)
+    """Decode the head of a plain service's response; raises `BadAnswerError`."""
+    return read_head(lines, _FORWARDED_HEADERS)
 
 
-def _check_line(request: PlainRequest) -> None:
+def _check_request_line(request: PlainRequest) -> None:
     method = request.method
     if not _METHOD.fullmatch(method) or method in _FORBIDDEN_METHODS:
         raise ForbiddenRequestError("method isn't allowed")
     if not _PATH.fullmatch(request.path) or not _QUERY.fullmatch(request.query):
         raise ForbiddenRequestError("malformed path or query")
     path = unquote(request.path)
-    parts = path.replace("\\", "/").split("/")
-    if ".." in parts or "." in parts:
+    segments = path.replace("\\", "/").split("/")
+    if ".." in segments or "." in segments:
         raise ForbiddenRequestError("path has relative parts")
-    folded = "/" + "/".join(part for part in parts if part)
+    normalized_path = "/" + "/".join(segment for segment in segments if segment)
     for prefix in request.reserved:
-        if f"{folded}/".startswith(prefix.rstrip("/") + "/"):
+        if f"{normalized_path}/".startswith(prefix.rstrip("/") + "/"):
             raise ForbiddenRequestError("path can't be reached by callers")
-    if holds_key(request.path, request.caller_key):
+    if contains_key(request.path, request.caller_key):
         raise ForbiddenRequestError("the request's path holds the caller's key")
 
 
-def _without_key(query: str, caller_key: str) -> str:
-    parts = query.split("&")
-    return "&".join(part for part in parts if not holds_key(part, caller_key))
+def _drop_key_parameters(query: str, caller_key: str) -> str:
+    parameters = query.split("&")
+    return "&".join(p for p in parameters if not contains_key(p, caller_key))
--- a/berylnotch/gateways/transfers.py
+++ b/berylnotch/gateways/transfers.py
@@ -1,4 +1,4 @@
-"""Transfers from targets, by pycurl in the event loop."""
+"""HTTP transfers by pycurl in the event loop."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 if TYPE_CHECKING:
     from berylnotch.gateways.http import UpstreamRequest
 
-#: Bytes of an answer that may wait in this process before curl is paused.
+#: Bytes of a response that may wait for delivery before curl is paused.
 _MAX_PENDING_BYTES = 64 * 1024
 _MAX_HEAD_BYTES = 64 * 1024
 _CONNECT_TIMEOUT_MS = 1000
 _MAX_IDLE_CONNECTIONS = 512
-#: Methods whose requests may go over a kept connection.
-_REUSING_METHODS = ("GET", "HEAD")
+#: Methods whose requests may reuse an idle connection.
+_CONNECTION_REUSE_METHODS = ("GET", "HEAD")
 
 
-#: Takes the lines of an answer's head, the status line first.
+#: Called with the lines of a response's head, the status line first.
 OnHead = Callable[[tuple[bytes, ...]], None]
 
 
 @frozen
 class TransferEnd:
-    """How a transfer ended.
+    """Outcome of a transfer.
 
     Parameters
     ----------
     error : str
-        Empty if the answer is complete as far as HTTP can tell.
+        Description of the failure; empty if HTTP shows the response to be complete.
     sent : bool
         Whether any byte of the request may have reached the target.
     """
@@ -44,12 +44,13 @@
 
 
 class Transfer:
-    """One request to a target and its answer.
+    """One request and its response.
 
     Parameters
     ----------
     on_head, on_body, on_end : callable
-        Called in the loop's thread, outside curl's callbacks, in that order.
+        Called with the head, each part of the body, and the outcome, in this order.
+        They run in the loop's thread, outside curl's callbacks.
     """
 
     def __init__(
@@ -64,23 +65,23 @@
         self._on_end = on_end
         self._head_lines: list[bytes] = []
         self._head_bytes = 0
-        self._head_done = False
-        self._pending: list[bytes] = []
+        self._is_head_delivered = False
+        self._pending_chunks: list[bytes] = []
         self._pending_bytes = 0
         self._end: TransferEnd | None = None
-        self._paused = False
-        self._curl_paused = False
-        self._scheduled = False
-        self.cancelled = False
+        self._is_paused = False
+        self._is_curl_paused = False
+        self._is_delivery_scheduled = False
+        self.is_closed = False
 
 
 class Upstreams:
-    """All transfers of a process.
+    """Transfers of a process, which share a pool of connections.
 
     Parameters
     ----------
     loop : Loop
-        Loop that serves the sockets.
+        Event loop that watches the sockets.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -91,11 +92,11 @@
         self._multi.setopt(pycurl.M_MAXCONNECTS, _MAX_IDLE_CONNECTIONS)
         self._timer: Timer | None = None
         self._transfers: dict[pycurl.Curl, Transfer] = {}
-        self._callbacks: dict[int, Callable[[int], None]] = {}
+        self._callbacks_by_fd: dict[int, Callable[[int], None]] = {}
 
     @property
     def active(self) -> int:
-        """Transfers that have not ended."""
+        """Number of transfers that have not ended."""
         return len(self._transfers)
 
     def close(self) -> None:
@@ -111,9 +112,9 @@
         on_body: Callable[[bytes], None],
         on_end: Callable[[TransferEnd], None],
     ) -> Transfer:
-        """Send a request; the callbacks tell of its answer."""
+        """Send a request; the callbacks receive its response."""
         transfer = Transfer(on_head, on_body, on_end)
-        _configure(transfer.curl, request)
+        _configure_curl(transfer.curl, request)
         transfer.curl.setopt(
             pycurl.HEADERFUNCTION, lambda line: self._on_header(transfer, line)
         )
@@ -122,24 +123,24 @@
         )
         self._transfers[transfer.curl] = transfer
         self._multi.add_handle(transfer.curl)
-        # Connect and send now rather than when curl's timer is looked at.
-        self._act(pycurl.SOCKET_TIMEOUT, 0)
+        # Starts to connect and send now, not when curl's timer expires.
+        self._drive_curl(pycurl.SOCKET_TIMEOUT, 0)
         return transfer
 
     def pause(self, transfer: Transfer) -> None:
-        """Deliver no more of the answer until `resume`."""
-        transfer._paused = True
+        """Stop the delivery of the response until `resume`."""
+        transfer._is_paused = True
 
     def resume(self, transfer: Transfer) -> None:
-        """Go on after `pause`."""
-        transfer._paused = False
-        self._schedule(transfer)
+        """Continue the delivery after `pause`."""
+        transfer._is_paused = False
+        self._schedule_delivery(transfer)
 
     def cancel(self, transfer: Transfer) -> None:
-        """End a transfer; its connection is closed and no callback follows."""
-        if transfer.cancelled:
+        """Abort a transfer; its connection is closed and no callback follows."""
+        if transfer.is_closed:
             return
-        transfer.cancelled = True
+        transfer.is_closed = True
         self._release(transfer)
 
     def _release(self, transfer: Transfer) -> None:
@@ -160,53 +161,63 @@
 
     def _on_write(self, transfer: Transfer, data: bytes) -> int:
         if transfer._pending_bytes > _MAX_PENDING_BYTES:
-            transfer._curl_paused = True
+            transfer._is_curl_paused = True
             return pycurl.WRITEFUNC_PAUSE
-        transfer._pending.append(data)
+        transfer._pending_chunks.append(data)
         transfer._pending_bytes += len(data)
-        self._schedule(transfer)
+        self._schedule_delivery(transfer)
         return len(data)
 
-    def _schedule(self, transfer: Transfer) -> None:
-        # curl forbids most calls from its callbacks, so delivery comes after.
-        if not transfer._scheduled:
-            transfer._scheduled = True
+    def _schedule_delivery(self, transfer: Transfer) -> None:
+        # curl forbids most calls from its callbacks, so delivery is deferred.
+        if not transfer._is_delivery_scheduled:
+            transfer._is_delivery_scheduled = True
             self._loop.call_soon(lambda: self._deliver(transfer))
 
     def _deliver(self, transfer: Transfer) -> None:
-        transfer._scheduled = False
-        if transfer.cancelled or transfer._paused:
+        transfer._is_delivery_scheduled = False
+        if transfer.is_closed or transfer._is_paused:
             return
-        if not transfer._head_done and (transfer._pending or _is_complete(transfer)):
-            transfer._head_done = True
+        if not transfer._is_head_delivered and (
+            transfer._pending_chunks or _has_succeeded(transfer)
+        ):
+            transfer._is_head_delivered = True
             transfer._on_head(tuple(transfer._head_lines))
-        if transfer._pending and not transfer.cancelled and not transfer._paused:
-            data = b"".join(transfer._pending)
-            transfer._pending.clear()
+        if (
+            transfer._pending_chunks
+            and not transfer.is_closed
+            and not transfer._is_paused
+        ):
+            data = b"".join(transfer._pending_chunks)
+            transfer._pending_chunks.clear()
             transfer._pending_bytes = 0
             transfer._on_body(data)
         self._unpause_curl(transfer)
         self._deliver_end(transfer)
 
     def _unpause_curl(self, transfer: Transfer) -> None:
-        if transfer.cancelled or transfer._pending or not transfer._curl_paused:
+        if (
+            transfer.is_closed
+            or transfer._pending_chunks
+            or not transfer._is_curl_paused
+        ):
             return
-        transfer._curl_paused = False
+        transfer._is_curl_paused = False
         if transfer.curl in self._transfers:
             transfer.curl.pause(pycurl.PAUSE_CONT)
-            self._act(pycurl.SOCKET_TIMEOUT, 0)
+            self._drive_curl(pycurl.SOCKET_TIMEOUT, 0)
 
     def _deliver_end(self, transfer: Transfer) -> None:
-        if transfer.cancelled or transfer._pending or transfer._end is None:
+        if transfer.is_closed or transfer._pending_chunks or transfer._end is None:
             return
-        if transfer._paused:
+        if transfer._is_paused:
             return
-        transfer.cancelled = True
+        transfer.is_closed = True
         transfer._on_end(transfer._end)
 
     def _on_socket(self, event: int, fd: int, _multi: object, _data: object) -> None:
         if event == pycurl.POLL_REMOVE:
-            callback = self._callbacks.pop(fd, None)
+            callback = self._callbacks_by_fd.pop(fd, None)
             if callback is not None:
                 self._loop.watch(fd, 0, callback)
             return
@@ -215,10 +226,10 @@
             events |= selectors.EVENT_READ
         if event in (pycurl.POLL_OUT, pycurl.POLL_INOUT):
             events |= selectors.EVENT_WRITE
-        callback = self._callbacks.get(fd)
+        callback = self._callbacks_by_fd.get(fd)
         if callback is None:
             callback = self._make_callback(fd)
-            self._callbacks[fd] = callback
+            self._callbacks_by_fd[fd] = callback
         self._loop.watch(fd, events, callback)
 
     def _make_callback(self, fd: int) -> Callable[[int], None]:
@@ -228,7 +239,7 @@
                 mask |= pycurl.CSELECT_IN
             if events & selectors.EVENT_WRITE:
                 mask |= pycurl.CSELECT_OUT
-            self._act(fd, mask)
+            self._drive_curl(fd, mask)
 
         return on_ready
 
@@ -238,35 +249,35 @@
             self._timer = None
         if timeout_ms >= 0:
             self._timer = self._loop.call_later(
-                timeout_ms / 1000, lambda: self._act(pycurl.SOCKET_TIMEOUT, 0)
+                timeout_ms / 1000, lambda: self._drive_curl(pycurl.SOCKET_TIMEOUT, 0)
             )
 
-    def _act(self, fd: int, mask: int) -> None:
+    def _drive_curl(self, fd: int, mask: int) -> None:
         self._multi.socket_action(fd, mask)
         while True:
-            queued, done, failed = self._multi.info_read()
-            for curl in done:
-                self._complete(curl, "")
+            remaining_messages, completed, failed = self._multi.info_read()
+            for curl in completed:
+                self._on_curl_done(curl, "")
             for curl, code, message in failed:
-                self._complete(curl, message or f"curl error {code}")
-            if not queued:
+                self._on_curl_done(curl, message or f"curl error {code}")
+            if not remaining_messages:
                 return
 
-    def _complete(self, curl: pycurl.Curl, error: str) -> None:
+    def _on_curl_done(self, curl: pycurl.Curl, error: str) -> None:
         transfer = self._transfers.get(curl)
         if transfer is None:
             return
         sent = curl.getinfo(pycurl.REQUEST_SIZE) > 0
         transfer._end = TransferEnd(error, sent)
         self._release(transfer)
-        self._schedule(transfer)
+        self._schedule_delivery(transfer)
 
 
-def _is_complete(transfer: Transfer) -> bool:
+def _has_succeeded(transfer: Transfer) -> bool:
     return transfer._end is not None and not transfer._end.error
 
 
-def _configure(curl: pycurl.Curl, request: UpstreamRequest) -> None:
+def _configure_curl(curl: pycurl.Curl, request: UpstreamRequest) -> None:
     curl.setopt(pycurl.URL, request.url)
     curl.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
     curl.setopt(pycurl.CONNECTTIMEOUT_MS, _CONNECT_TIMEOUT_MS)
@@ -276,9 +287,10 @@
     curl.setopt(pycurl.NOPROXY, "*")
     curl.setopt(pycurl.FOLLOWLOCATION, 0)
     curl.setopt(pycurl.PROTOCOLS, pycurl.PROTO_HTTP | pycurl.PROTO_HTTPS)
-    if request.method not in _REUSING_METHODS:
-        # curl repeats a request by itself if a kept connection turns out dead:
-        # a second run, and a lost target that the router would not hear of.
+    if request.method not in _CONNECTION_REUSE_METHODS:
+        # curl silently repeats a request whose reused connection turns out closed.
+        # The request would run twice, and the router would not notice that a target
+        # was lost.
         curl.setopt(pycurl.FRESH_CONNECT, 1)
         curl.setopt(pycurl.FORBID_REUSE, 1)
     if request.body or request.method in ("POST", "PUT", "PATCH"):
@@ -289,6 +301,6 @@
         curl.setopt(pycurl.NOBODY, 1)
     curl.setopt(pycurl.CUSTOMREQUEST, request.method)
     lines = [f"{header.name}: {header.value}" for header in request.headers]
-    # An empty value stops curl from adding these headers by itself.
+    # An empty value stops curl from adding the header itself.
     lines += ["Expect:", "User-Agent: berylnotch"]
     curl.setopt(pycurl.HTTPHEADER, lines)
--- a/berylnotch/gateways/vmlist.py
+++ b/berylnotch/gateways/vmlist.py
@@ -1,4 +1,7 @@
-"""The platform's list of live and leaving VMs, which lags."""
+"""The platform's list of live and leaving VMs.
+
+The list lags behind the true state of the VMs.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +9,10 @@
 
 from attrs import frozen
 
-from berylnotch.gateways.answers import read_answer
+from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.http import UpstreamRequest
 
-#: Path of the list.
+#: Path at which the platform serves the list.
 VMS_PATH = "/vms"
 
 
@@ -27,9 +30,9 @@
     Attributes
     ----------
     name, address : str
-        Name and IP number, perhaps with a port.
+        Name and IP address of the VM; the address may include a port.
     state : VmState
-        Whether the platform is about to take it away.
+        Whether the VM is live, or leaving because the platform is about to remove it.
     """
 
     name: str
@@ -39,7 +42,7 @@
 
 @frozen
 class VmList:
-    """The whole list; a VM that isn't on it is gone or not known yet."""
+    """The complete list; a VM that is missing was removed or is not listed yet."""
 
     vms: tuple[ListedVm, ...]
 
@@ -50,5 +53,5 @@
 
 
 def read_vms(status: int, body: bytes) -> VmList:
-    """Read the list; raises `BadAnswerError` or `BusyError`."""
-    return read_answer(VmList, status, body)
+    """Decode the list; raises `BadAnswerError` or `BusyError`."""
+    return decode_response(VmList, status, body)
--- a/berylnotch/gateways/weights.py
+++ b/berylnotch/gateways/weights.py
@@ -1,4 +1,4 @@
-"""The rate-limited weight store, from which engines load."""
+"""Queries to the rate-limited weight store, from which engines load weights."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from attrs import frozen
 
-from berylnotch.gateways.answers import read_answer
+from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.http import UpstreamRequest
 
 
 @frozen
 class WeightsVersion:
-    """A version that engines can load.
+    """A weights version that engines can load.
 
     Attributes
     ----------
     version : str
         Name of the version.
     size_bytes : int
-        Length of the weights; 0 if the store doesn't tell.
+        Size of the weights in bytes; 0 if the store does not report it.
     """
 
     version: str
@@ -28,21 +28,24 @@
 
 @frozen
 class WeightsVersions:
-    """Versions of one model, oldest first."""
+    """Weights versions of one model, oldest first."""
 
     versions: tuple[WeightsVersion, ...]
 
-    def has(self, version: str) -> bool:
+    def has_version(self, version: str) -> bool:
         """Whether the store holds a version."""
-        return any(held.version == version for held in self.versions)
+        return any(entry.version == version for entry in self.versions)
 
 
 def build_versions(address: str, model: str, timeout_s: float) -> UpstreamRequest:
-    """Build the request for a model's versions from the store at ``IP:PORT``."""
+    """Build the request for a model's weights versions to a store at ``IP:PORT``."""
     url = f"http://{address}/weights/{quote(model, safe='')}"
     return UpstreamRequest(url, "GET", (), b"", timeout_s)
 
 
 def read_versions(status: int, body: bytes) -> WeightsVersions:
-    """Read the versions; raises `BusyError` above the store's rate."""
-    return read_answer(WeightsVersions, status, body)
+    """Decode the versions; raises `BadAnswerError` or `BusyError`.
+
+    The store answers requests above its rate limit as busy.
+    """
+    return decode_response(WeightsVersions, status, body)
--- a/berylnotch/platform/configuration.py
+++ b/berylnotch/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Configurations as the platform writes them."""
+"""Decoding of fleet configurations in the platform's JSON format."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from berylnotch.net.reading import HttpLimits
 from berylnotch.platform.fields import (
     FieldError,
-    array,
     as_object,
-    flag,
-    integer,
-    number,
+    get_bool,
+    get_integer,
+    get_list,
+    get_number,
+    get_string,
     parse_json,
-    text,
 )
 from berylnotch.routing.checks import check
 from berylnotch.routing.errors import InvalidConfigurationError
@@ -27,7 +27,7 @@
     Split,
 )
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
@@ -35,117 +35,124 @@
 
 
 def decode_configuration(body: bytes) -> FleetConfiguration:
-    """Read and check a configuration.
+    """Decode and validate a configuration.
 
     Raises
     ------
     InvalidConfigurationError
-        If it cannot be read in full or breaks a rule.
+        If any part of it cannot be decoded, or it is invalid.
     """
     try:
         values = as_object(parse_json(body), "configuration")
-        configuration = _configuration(values)
+        configuration = _decode_fleet_configuration(values)
     except FieldError as error:
         raise InvalidConfigurationError(str(error)) from error
     check(configuration)
     return configuration
 
 
-def _configuration(values: dict[str, Any]) -> FleetConfiguration:
+def _decode_fleet_configuration(values: dict[str, Any]) -> FleetConfiguration:
     organisations = None
     if values.get("tenants") is not None:
-        items = array(values, "tenants")
-        organisations = tuple(_organisation(as_object(i, "tenant")) for i in items)
+        items = get_list(values, "tenants")
+        organisations = tuple(
+            _decode_organisation(as_object(i, "tenant")) for i in items
+        )
     return FleetConfiguration(
-        version=integer(values, "version"),
-        routes=tuple(_route(as_object(r, "route")) for r in array(values, "routes")),
+        version=get_integer(values, "version"),
+        routes=tuple(
+            _decode_route(as_object(r, "route")) for r in get_list(values, "routes")
+        ),
         services=tuple(
-            _service(as_object(s, "service")) for s in array(values, "services")
+            _decode_service(as_object(s, "service"))
+            for s in get_list(values, "services")
         ),
         organisations=organisations,
-        limits=_limits(as_object(values.get("limits") or {}, "limits")),
+        limits=_decode_limits(as_object(values.get("limits") or {}, "limits")),
     )
 
 
-def _route(values: dict[str, Any]) -> Route:
-    kind = text(values, "routeType")
-    if kind not in _KINDS:
-        raise FieldError(f"routeType {kind!r} is unknown")
+def _decode_route(values: dict[str, Any]) -> Route:
+    route_type = get_string(values, "routeType")
+    if route_type not in _ROUTE_KINDS:
+        raise FieldError(f"routeType {route_type!r} is unknown")
     return Route(
-        name=text(values, "name", ""),
-        host=text(values, "hostname").lower(),
-        prefix=text(values, "pathPrefix"),
-        kind=_KINDS[kind],
-        timeout_s=number(values, "timeoutMs") / 1000,
-        target_latency_s=number(values, "targetLatencyMs", 0) / 1000,
-        priority=integer(values, "priority", 0),
-        splits=_splits(values),
-        max_attempts=max(1, integer(values, "maxAttempts", 1)),
-        is_open=flag(values, "public", False),
-        is_resumable=flag(values, "resumable", False),
-        max_gap_s=number(values, "gapTargetMs", 0) / 1000,
+        name=get_string(values, "name", ""),
+        host=get_string(values, "hostname").lower(),
+        prefix=get_string(values, "pathPrefix"),
+        kind=_ROUTE_KINDS[route_type],
+        timeout_s=get_number(values, "timeoutMs") / 1000,
+        target_latency_s=get_number(values, "targetLatencyMs", 0) / 1000,
+        priority=get_integer(values, "priority", 0),
+        splits=_decode_splits(values),
+        max_attempts=max(1, get_integer(values, "maxAttempts", 1)),
+        is_open=get_bool(values, "public", False),
+        is_resumable=get_bool(values, "resumable", False),
+        max_gap_s=get_number(values, "gapTargetMs", 0) / 1000,
     )
 
 
-def _splits(values: dict[str, Any]) -> tuple[Split, ...]:
+def _decode_splits(values: dict[str, Any]) -> tuple[Split, ...]:
     if values.get("trafficSplit") is None:
-        return (Split(text(values, "service"), 1.0),)
-    items = (as_object(item, "split") for item in array(values, "trafficSplit"))
-    return tuple(Split(text(i, "service"), number(i, "weight")) for i in items)
+        return (Split(get_string(values, "service"), 1.0),)
+    items = (as_object(item, "split") for item in get_list(values, "trafficSplit"))
+    return tuple(
+        Split(get_string(i, "service"), get_number(i, "weight")) for i in items
+    )
 
 
-def _service(values: dict[str, Any]) -> Service:
+def _decode_service(values: dict[str, Any]) -> Service:
     engine = None
     if values.get("engine") is not None:
-        engine = _engine(as_object(values["engine"], "engine"))
+        engine = _decode_engine(as_object(values["engine"], "engine"))
     return Service(
-        name=text(values, "name"),
-        health_path=text(values, "healthPath", ""),
-        max_connections=integer(values, "maxConns", 0),
+        name=get_string(values, "name"),
+        health_path=get_string(values, "healthPath", ""),
+        max_connections=get_integer(values, "maxConns", 0),
         engine=engine,
-        store_address=text(values, "kvStoreAddr", ""),
-        failure_domain=text(values, "zone", ""),
-        store_tokens=integer(values, "kvCapacityTokens", 0),
-        store_link_mbps=number(values, "linkMbps", 0),
+        store_address=get_string(values, "kvStoreAddr", ""),
+        failure_domain=get_string(values, "zone", ""),
+        store_tokens=get_integer(values, "kvCapacityTokens", 0),
+        store_link_mbps=get_number(values, "linkMbps", 0),
     )
 
 
-def _engine(values: dict[str, Any]) -> EngineKind:
-    models = (as_object(m, "model") for m in array(values, "models", []))
+def _decode_engine(values: dict[str, Any]) -> EngineKind:
+    models = (as_object(m, "model") for m in get_list(values, "models", []))
     return EngineKind(
-        slots=integer(values, "slots"),
-        cache_tokens=integer(values, "kvCapacityTokens", 0),
-        token_bytes=int(number(values, "tokenBytes", 0)),
-        models=tuple(text(model, "name") for model in models),
-        link_mbps=number(values, "linkMbps", 0),
-        moves_runs=flag(values, "moves", False),
+        slots=get_integer(values, "slots"),
+        cache_tokens=get_integer(values, "kvCapacityTokens", 0),
+        token_bytes=int(get_number(values, "tokenBytes", 0)),
+        models=tuple(get_string(model, "name") for model in models),
+        link_mbps=get_number(values, "linkMbps", 0),
+        moves_runs=get_bool(values, "moves", False),
     )
 
 
-def _organisation(values: dict[str, Any]) -> Organisation:
-    keys = array(values, "apiKeys", [])
+def _decode_organisation(values: dict[str, Any]) -> Organisation:
+    keys = get_list(values, "apiKeys", [])
     if not all(isinstance(key, str) for key in keys):
         raise FieldError("apiKeys holds something other than a string")
-    counts_tokens = text(values, "unit", "") == "tokens"
+    counts_tokens = get_string(values, "unit", "") == "tokens"
     return Organisation(
-        name=text(values, "name"),
+        name=get_string(values, "name"),
         keys=tuple(keys),
-        priority=integer(values, "priority", 0),
-        rate=number(values, "ratePerS", 0),
-        burst=number(values, "burst", 0),
+        priority=get_integer(values, "priority", 0),
+        rate=get_number(values, "ratePerS", 0),
+        burst=get_number(values, "burst", 0),
         counts_tokens=counts_tokens,
-        # "uncachedTokens" has nothing to do with a cache: it is what a request
-        # without token counts costs.
-        default_cost=integer(values, "uncachedTokens", 1) if counts_tokens else 1,
-        is_isolated=flag(values, "isolated", False),
+        # Despite its name, "uncachedTokens" does not refer to a cache: it is the cost
+        # of a request that states no token counts.
+        default_cost=get_integer(values, "uncachedTokens", 1) if counts_tokens else 1,
+        is_isolated=get_bool(values, "isolated", False),
     )
 
 
-def _limits(values: dict[str, Any]) -> HttpLimits:
+def _decode_limits(values: dict[str, Any]) -> HttpLimits:
     default = HttpLimits()
     return HttpLimits(
-        header_bytes=integer(values, "maxHeaderBytes", default.header_bytes),
-        body_bytes=integer(values, "maxBodyBytes", default.body_bytes),
-        header_s=number(values, "headerTimeoutMs", default.header_s * 1000) / 1000,
-        idle_s=number(values, "idleTimeoutMs", default.idle_s * 1000) / 1000,
+        header_bytes=get_integer(values, "maxHeaderBytes", default.header_bytes),
+        body_bytes=get_integer(values, "maxBodyBytes", default.body_bytes),
+        header_s=get_number(values, "headerTimeoutMs", default.header_s * 1000) / 1000,
+        idle_s=get_number(values, "idleTimeoutMs", default.idle_s * 1000) / 1000,
     )
--- a/berylnotch/platform/fields.py
+++ b/berylnotch/platform/fields.py
@@ -1,4 +1,4 @@
-"""Checked access to the fields of a JSON body."""
+"""Type-checked access to the fields of a JSON body."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FieldError(GatewayError):
-    """A body of the platform cannot be read, or a field is missing or wrong."""
+    """A body cannot be decoded, or a field is missing or has the wrong type."""
 
 
 def parse_json(body: bytes, is_strict: bool = True) -> Any:
@@ -24,76 +24,77 @@
     body : bytes
         The whole body.
     is_strict : bool, default=True
-        Whether repeated names, unreadable characters and numbers like NaN are
-        errors.
+        Whether repeated names, invalid UTF-8 and numbers like NaN are errors.
 
     Raises
     ------
     FieldError
-        If it cannot be read.
+        If the body is not valid JSON.
     """
     try:
         if not is_strict:
             return json.loads(body.decode("utf-8", errors="replace"))
         return json.loads(
             body.decode("utf-8"),
-            object_pairs_hook=_unique,
-            parse_constant=_refuse_constant,
+            object_pairs_hook=_reject_duplicate_names,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError) as error:
         raise FieldError(f"not JSON: {error}") from error
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_names(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     value = dict(pairs)
     if len(value) != len(pairs):
         raise ValueError("a name is repeated in an object")
     return value
 
 
-def _refuse_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f"{name} is no number")
 
 
-def as_object(value: Any, what: str) -> dict[str, Any]:
-    """Return a JSON object."""
+def as_object(value: Any, label: str) -> dict[str, Any]:
+    """Return a value that must be a JSON object; ``label`` names it in errors."""
     if not isinstance(value, dict):
-        raise FieldError(f"{what} is not an object")
+        raise FieldError(f"{label} is not an object")
     return value
 
 
-def text(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> str:
-    """Return a string field."""
-    return _field(values, name, str, default)
+def get_string(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> str:
+    """Return the value of a string field."""
+    return _get_field(values, name, str, default)
 
 
-def flag(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> bool:
-    """Return a boolean field."""
-    return _field(values, name, bool, default)
+def get_bool(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> bool:
+    """Return the value of a boolean field."""
+    return _get_field(values, name, bool, default)
 
 
-def integer(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> int:
-    """Return a whole number."""
-    return _field(values, name, int, default)
+def get_integer(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> int:
+    """Return the value of an integer field."""
+    return _get_field(values, name, int, default)
 
 
-def number(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> float:
-    """Return a number."""
-    return _field(values, name, (int, float), default)
+def get_number(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> float:
+    """Return the value of a numeric field."""
+    return _get_field(values, name, (int, float), default)
 
 
-def array(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> list[Any]:
-    """Return a list field."""
-    return _field(values, name, list, default)
+def get_list(values: dict[str, Any], name: str, default: Any = _REQUIRED) -> list[Any]:
+    """Return the value of an array field."""
+    return _get_field(values, name, list, default)
 
 
-def _field(values: dict[str, Any], name: str, kind: Any, default: Any) -> Any:
+def _get_field(
+    values: dict[str, Any], name: str, expected_type: Any, default: Any
+) -> Any:
     value = values.get(name)
     if value is None:
         if default is _REQUIRED:
             raise FieldError(f"{name} is missing")
         return default
-    is_wrong_bool = isinstance(value, bool) and kind is not bool
-    if is_wrong_bool or not isinstance(value, kind):
+    is_unexpected_bool = isinstance(value, bool) and expected_type is not bool
+    if is_unexpected_bool or not isinstance(value, expected_type):
         raise FieldError(f"{name} has the wrong type: {type(value).__name__}")
     return value
--- a/berylnotch/platform/moves.py
+++ b/berylnotch/platform/moves.py
@@ -1,4 +1,4 @@
-"""Calls by which the memory of a run is copied from one engine to another."""
+"""Calls to engines that copy the KV cache of a run to another engine."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from attrs import frozen
 
 from berylnotch.net.messages import Headers, HttpRequest, HttpResponse
-from berylnotch.platform.fields import FieldError, as_object, parse_json, text
+from berylnotch.platform.fields import FieldError, as_object, get_string, parse_json
 
 
 @frozen
 class MoveAnswer:
-    """What an engine answers to a call for a copy of a run.
+    """Engine's response to a call that copies a run's KV cache.
 
     Parameters
     ----------
     status : int
-        Status of the answer.
+        HTTP status of the response.
     handle : str
-        What the copy is known by, empty if there is none. A run that was to stop has
-        stopped if there is one.
+        Identifier of the copy, empty if there is none. After a call that stops the run,
+        a handle means that the run has stopped, even if the copy failed.
     is_copied : bool
         Whether the copy is complete.
     """
@@ -31,52 +31,54 @@
     is_copied: bool = False
 
 
-def move_request(host: str, request_id: str, to: str, stops_run: bool) -> HttpRequest:
-    """Return the call that copies a run's memory to another engine.
+def move_request(
+    host: str, request_id: str, destination: str, stops_run: bool
+) -> HttpRequest:
+    """Return the call that copies a run's KV cache to another engine.
 
     Parameters
     ----------
     host : str
-        Address of the engine that runs the request.
+        Address of the engine that executes the run.
     request_id : str
-        The request.
-    to : str
-        Address of the other engine.
+        Identifier of the request.
+    destination : str
+        Address of the engine that receives the copy.
     stops_run : bool
-        Whether the run stops first, so that the copy is whole.
+        Whether the engine stops the run first, so that the copy is complete.
     """
-    body = {"id": request_id, "to": to, "last": stops_run}
+    body = {"id": request_id, "to": destination, "last": stops_run}
     headers = Headers((("Host", host), ("Content-Type", "application/json")))
     return HttpRequest("POST", "/kv-move", headers, json.dumps(body).encode())
 
 
 def decode_move(response: HttpResponse) -> MoveAnswer:
-    """Read the answer to such a call.
+    """Decode the response to a call that copies a run's KV cache.
 
     Raises
     ------
     FieldError
-        If a success names no copy.
+        If a response with status 200 has no readable handle of a copy.
     """
     if response.status == 200:
         values = as_object(parse_json(response.body, is_strict=False), "copy")
-        return MoveAnswer(200, text(values, "handle"), is_copied=True)
+        return MoveAnswer(200, get_string(values, "handle"), is_copied=True)
     if response.status != 503 or not response.body:
         return MoveAnswer(response.status)
     try:
         values = as_object(parse_json(response.body, is_strict=False), "refusal")
-        return MoveAnswer(503, text(values, "handle", ""))
+        return MoveAnswer(503, get_string(values, "handle", ""))
     except FieldError:
-        # A refusal need not have a body that can be read.
+        # A refusal may have a body that cannot be decoded.
         return MoveAnswer(503)
 
 
 def run_origin(address: str, handle: str) -> str:
-    """Return what tells an engine where the memory of a stopped run is."""
+    """Return the location of a stopped run's KV cache in the engines' format."""
     return f"{address}/{handle}"
 
 
 def free_copy_request(host: str, handle: str) -> HttpRequest:
-    """Return the call that frees a copy at both of its engines."""
+    """Return the call that frees a copy at its source and its destination."""
     target = f"/kv-handle/{quote(handle, safe='')}"
     return HttpRequest("DELETE", target, Headers((("Host", host),)))
--- a/berylnotch/platform/names.py
+++ b/berylnotch/platform/names.py
@@ -1,51 +1,53 @@
-"""Header names of the platform."""
+"""Names of the platform's HTTP headers."""
 
 from __future__ import annotations
 
 REQUEST_ID = "Berylnotch-Request-Id"
 DEADLINE_MS = "Berylnotch-Deadline-Ms"
-#: Identifiers and sizes of a prompt's parts; no hash of a whole prefix.
+#: Identifiers and token counts of a prompt's parts. Despite its name, the header does
+#: not hold the hash of a whole prefix.
 PROMPT_PARTS = "Berylnotch-Prefix-Hash"
 LAST_EVENT_ID = "Last-Event-Id"
-#: Proof that a target made the answer.
-STAMP = "Berylnotch-Server-Stamp"
+#: Proof that a target generated the response.
+SERVER_STAMP = "Berylnotch-Server-Stamp"
 ORGANISATION = "Berylnotch-Tenant"
-EXPECT_TARGET = "Berylnotch-Expect-Instance"
+EXPECTED_TARGET = "Berylnotch-Expect-Instance"
 NOT_RUN = "Berylnotch-Not-Executed"
 RETRY_AFTER = "Retry-After"
 TARGET_ID = "Berylnotch-Instance-Id"
-#: Set to 1 in every answer of an engine that is leaving.
+#: Set to 1 in every response of an engine that is leaving.
 LEAVING = "Server-Leaving"
 MODEL = "Berylnotch-Model"
 TOKEN_COUNTS = "Berylnotch-Token-Count"
 CACHE_SALT = "Berylnotch-Cache-Salt"
-#: Urgency at the engine, 0 to 9 with 0 first.
+#: Priority at the engine, from 0 (served first) to 9.
 PRIORITY = "Berylnotch-Request-Priority"
 CACHE_FETCH = "Berylnotch-Kv-Fetch"
 CACHE_SAVE = "Berylnotch-Kv-Save"
-#: Version of the weights that made an answer; a single number.
-#: Where the memory of a stopped run is, for the engine at which it goes on.
+#: Location of a stopped run's KV cache, sent to the engine that resumes the run.
 RUN_ORIGIN = "Kv-From"
+#: Version of the weights that generated a response; a single number.
 WEIGHTS_VERSION = "Berylnotch-Weight-Versions"
-EXPECT_WEIGHTS = "Berylnotch-Expect-Version"
+EXPECTED_WEIGHTS = "Berylnotch-Expect-Version"
 LENGTH_HINT = "Berylnotch-Length-Hint"
 AUTHORIZATION = "Authorization"
-KEY_SCHEME = "Bearer"
+AUTHORIZATION_SCHEME = "Bearer"
 
-#: Headers of a caller that only this system may set, in lower case; the last
-#: ones steer an engine's memory, which callers have no say in.
+#: Headers, in lower case, that only this system may set and that are removed from
+#: callers' requests. The last ones control an engine's KV cache, which callers must not
+#: control.
 SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
         AUTHORIZATION,
         DEADLINE_MS,
         ORGANISATION,
-        EXPECT_TARGET,
+        EXPECTED_TARGET,
         CACHE_SALT,
         PRIORITY,
         CACHE_FETCH,
         CACHE_SAVE,
-        EXPECT_WEIGHTS,
+        EXPECTED_WEIGHTS,
         "Content-Length",
         "Berylnotch-Pin-Ms",
         "Berylnotch-Kv-Hold",
--- a/berylnotch/platform/operators.py
+++ b/berylnotch/platform/operators.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's operators, and address answers for callers."""
+"""Calls of the platform's operators, and responses that list addresses."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from berylnotch.platform.fields import (
     FieldError,
     as_object,
-    integer,
+    get_integer,
+    get_string,
     parse_json,
-    text,
 )
 
 
 class OperatorCall(Enum):
-    """What an operator asks for."""
+    """Kind of an operator's call."""
 
     PUT_CONFIGURATION = "put configuration"
     GET_CONFIGURATION = "get configuration"
@@ -33,43 +33,45 @@
     ("POST", "/version-put"): OperatorCall.NAME_WEIGHTS,
 }
 
-#: Path at which callers ask for addresses.
+#: Path at which callers request addresses of routers.
 ADDRESS_PATH = "/resolve"
 
-#: Path at which the platform asks whether a router is ready.
+#: Path of the readiness probe that the platform sends to routers.
 READY_PATH = "/readyz"
 
 
 def decode_call(request: HttpRequest) -> OperatorCall:
-    """Return which call a request is."""
+    """Return the kind of an operator's call."""
     return _CALLS.get((request.method, request.path), OperatorCall.UNKNOWN)
 
 
 def decode_weights_name(request: HttpRequest) -> ModelVersion:
-    """Read which version of a model's weights is named.
+    """Decode the announcement of a version of a model's weights.
 
     Raises
     ------
     FieldError
-        If the body cannot be read.
+        If the body cannot be decoded or the version is not positive.
     """
     values = as_object(parse_json(request.body), "body")
-    named = ModelVersion(text(values, "model"), integer(values, "version"))
-    if named.version < 1:
-        raise FieldError(f"version {named.version} is not positive")
-    return named
+    announced = ModelVersion(
+        get_string(values, "model"), get_integer(values, "version")
+    )
+    if announced.version < 1:
+        raise FieldError(f"version {announced.version} is not positive")
+    return announced
 
 
 def error_body(reason: str) -> bytes:
-    """Return the body of an answer that reports an error."""
+    """Return the body of a response that reports an error."""
     return json.dumps({"error": reason}).encode()
 
 
 def caller_domain(request: HttpRequest) -> str:
-    """Return the failure domain of a caller that asks for addresses, or empty."""
+    """Return the failure domain of a caller that requests addresses, or empty."""
     return parse_qs(request.query).get("zone", [""])[0]
 
 
 def address_body(addresses: Iterable[str], ttl_s: float) -> bytes:
-    """Return the body of an address answer."""
+    """Return the body of a response that lists addresses."""
     return json.dumps({"addresses": list(addresses), "ttlS": ttl_s}).encode()
--- a/berylnotch/platform/requests.py
+++ b/berylnotch/platform/requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers, and how they look at a target."""
+"""Headers of callers' requests, of requests to targets, and of their responses."""
 
 from __future__ import annotations
 
@@ -11,12 +11,28 @@
 
 @frozen
 class CallerRequest:
-    """What the headers of a caller's request say.
-
-    ``deadline_s`` is how long the caller waits, None if it did not say.
-    ``output_tokens`` is the most that may be generated, ``chain`` what the prompt
-    shares with others. ``resume_after`` is the last event that the caller has, or
-    None.
+    """Decoded headers of a caller's request.
+
+    Parameters
+    ----------
+    request_id : str
+        Identifier of the request.
+    host : str
+        Host that the request is addressed to.
+    key : str
+        The caller's key.
+    deadline_s : float or None
+        Seconds that the caller waits, None if not stated.
+    model : str
+        Name of the model.
+    prompt_tokens : int
+        Tokens of the prompt, 0 if not stated.
+    output_tokens : int
+        Largest number of tokens that may be generated, 0 if not stated.
+    chain : Chain
+        Prefixes that the prompt shares with other prompts.
+    resume_after : int or None
+        Number of the last event that the caller has, None if it has none.
     """
 
     request_id: str
@@ -31,18 +47,37 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that the request may cost in all; 0 if it did not say."""
+        """Largest number of tokens of prompt and output, 0 if not stated."""
         return self.prompt_tokens + self.output_tokens
 
 
 @frozen
 class TargetHeaders:
-    """What this system tells a target about a request.
-
-    ``priority`` is 0 (first) to 9, ``cache_salt`` separates cache entries that may
-    not be shared, ``fetch_from`` and ``save_to`` are addresses of engines or
-    stores, ``run_origin`` is where the memory of a stopped run is that goes on. None
-    and empty values are left out.
+    """Headers that this system sets in a request to a target.
+
+    Headers with the value None or an empty value are left out.
+
+    Parameters
+    ----------
+    deadline_s : float
+        Seconds until the request's deadline.
+    target_id : str
+        Identity that the target must have to execute the request.
+    organisation : str, default=""
+        Name of the caller's organisation.
+    priority : int or None
+        Priority at the engine, from 0 (served first) to 9.
+    weights_version : int or None
+        Weights version that the target must have to execute the request.
+    cache_salt : str, default=""
+        Salt that separates cache entries that must not be shared.
+    fetch_from, save_to : str, default=""
+        Addresses of the engine or store from which the engine fetches the prompt's KV
+        cache, and of the store to which it saves it.
+    resume_after : int or None
+        Number of the last event that must not be sent again.
+    run_origin : str, default=""
+        Location of the KV cache from which a stopped run resumes.
     """
 
     deadline_s: float
@@ -59,11 +94,24 @@
 
 @frozen
 class AnswerHead:
-    """What the headers of a target's answer say.
-
-    ``is_not_run`` tells that the target did not run the request and never will,
-    ``is_leaving`` that it takes no new work, and ``retry_after_s`` for how long it
-    wants no request; None if it did not say.
+    """Decoded headers of a target's response.
+
+    Parameters
+    ----------
+    request_id : str
+        Identifier of the request that the response belongs to.
+    stamp : str
+        Proof that the target generated the response, empty if missing.
+    is_not_run : bool
+        Whether the target has not executed the request and never will.
+    target_id : str
+        Identity of the target.
+    weights_version : int or None
+        Version of the weights that generated the response.
+    is_leaving : bool, default=False
+        Whether the target accepts no new work.
+    retry_after_s : float or None
+        Seconds in which the target shall get no request, None if not stated.
     """
 
     request_id: str
@@ -76,87 +124,91 @@
 
 
 def decode_request(request: HttpRequest) -> CallerRequest:
-    """Read the headers of a caller's request; malformed ones count as absent."""
+    """Decode the headers of a caller's request; malformed ones count as absent."""
     headers = request.headers
     scheme, _, key = headers.get(names.AUTHORIZATION).partition(" ")
-    deadline_ms = _number(headers.get(names.DEADLINE_MS))
-    counts = headers.get(names.TOKEN_COUNTS).split(",")
-    prompt_tokens = int(_number(counts[0]) or 0)
+    deadline_ms = _parse_number(headers.get(names.DEADLINE_MS))
+    token_counts = headers.get(names.TOKEN_COUNTS).split(",")
+    prompt_tokens = int(_parse_number(token_counts[0]) or 0)
     return CallerRequest(
         request_id=headers.get(names.REQUEST_ID),
         host=headers.get("Host"),
-        key=key.strip() if scheme.lower() == names.KEY_SCHEME.lower() else "",
+        key=key.strip() if scheme.lower() == names.AUTHORIZATION_SCHEME.lower() else "",
         deadline_s=None if deadline_ms is None else deadline_ms / 1000,
         model=headers.get(names.MODEL),
         prompt_tokens=prompt_tokens,
-        output_tokens=int(_number(counts[1]) or 0) if len(counts) > 1 else 0,
-        chain=make_chain(_parts(headers.get(names.PROMPT_PARTS)), prompt_tokens),
-        resume_after=_whole(headers.get(names.LAST_EVENT_ID)),
+        output_tokens=int(_parse_number(token_counts[1]) or 0)
+        if len(token_counts) > 1
+        else 0,
+        chain=make_chain(_parse_parts(headers.get(names.PROMPT_PARTS)), prompt_tokens),
+        resume_after=_parse_integer(headers.get(names.LAST_EVENT_ID)),
     )
 
 
-def encode_for_target(request: HttpRequest, told: TargetHeaders) -> HttpRequest:
-    """Return the request as a target gets it; only the headers change."""
+def encode_for_target(
+    request: HttpRequest, target_headers: TargetHeaders
+) -> HttpRequest:
+    """Return the request to a target: the caller's request with other headers."""
     headers = request.headers.end_to_end()
-    dropped = set(names.SYSTEM_HEADERS)
-    if told.resume_after is not None:
-        dropped.add(names.LAST_EVENT_ID.lower())
-    headers = headers.without(dropped)
-    headers.add(names.DEADLINE_MS, str(max(1, int(told.deadline_s * 1000))))
-    headers.add(names.EXPECT_TARGET, told.target_id)
-    _add(headers, names.ORGANISATION, told.organisation)
-    _add(headers, names.PRIORITY, told.priority)
-    _add(headers, names.EXPECT_WEIGHTS, told.weights_version)
-    _add(headers, names.CACHE_SALT, told.cache_salt)
-    _add(headers, names.CACHE_FETCH, told.fetch_from)
-    _add(headers, names.CACHE_SAVE, told.save_to)
-    _add(headers, names.LAST_EVENT_ID, told.resume_after)
-    _add(headers, names.RUN_ORIGIN, told.run_origin)
+    removed_names = set(names.SYSTEM_HEADERS)
+    if target_headers.resume_after is not None:
+        removed_names.add(names.LAST_EVENT_ID.lower())
+    headers = headers.without(removed_names)
+    headers.add(names.DEADLINE_MS, str(max(1, int(target_headers.deadline_s * 1000))))
+    headers.add(names.EXPECTED_TARGET, target_headers.target_id)
+    _add_header(headers, names.ORGANISATION, target_headers.organisation)
+    _add_header(headers, names.PRIORITY, target_headers.priority)
+    _add_header(headers, names.EXPECTED_WEIGHTS, target_headers.weights_version)
+    _add_header(headers, names.CACHE_SALT, target_headers.cache_salt)
+    _add_header(headers, names.CACHE_FETCH, target_headers.fetch_from)
+    _add_header(headers, names.CACHE_SAVE, target_headers.save_to)
+    _add_header(headers, names.LAST_EVENT_ID, target_headers.resume_after)
+    _add_header(headers, names.RUN_ORIGIN, target_headers.run_origin)
     return HttpRequest(request.method, request.target, headers, request.body)
 
 
 def decode_answer(status: int, headers: Headers) -> AnswerHead:
-    """Read the headers of a target's answer."""
+    """Decode the headers of a target's response."""
     has_refused = bool(headers.get(names.NOT_RUN)) or status == 421
     return AnswerHead(
         request_id=headers.get(names.REQUEST_ID),
-        stamp=headers.get(names.STAMP),
+        stamp=headers.get(names.SERVER_STAMP),
         is_not_run=has_refused,
         target_id=headers.get(names.TARGET_ID),
-        weights_version=_whole(headers.get(names.WEIGHTS_VERSION)),
+        weights_version=_parse_integer(headers.get(names.WEIGHTS_VERSION)),
         is_leaving=headers.get(names.LEAVING).strip() == "1",
-        retry_after_s=_number(headers.get(names.RETRY_AFTER))
+        retry_after_s=_parse_number(headers.get(names.RETRY_AFTER))
         if status == 503
         else None,
     )
 
 
 def refusal_headers(request_id: str, retry_after_s: float | None) -> Headers:
-    """Return the headers of an answer that this system makes itself."""
+    """Return the headers of a response by which this system refuses a request."""
     headers = Headers()
-    _add(headers, names.REQUEST_ID, request_id)
+    _add_header(headers, names.REQUEST_ID, request_id)
     if retry_after_s is not None:
         headers.add(names.RETRY_AFTER, f"{retry_after_s:.3f}")
     return headers
 
 
-def _add(headers: Headers, name: str, value: str | int | None) -> None:
+def _add_header(headers: Headers, name: str, value: str | int | None) -> None:
     if value not in ("", None):
         headers.add(name, str(value))
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
+def _parse_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for item in text.split(","):
         part_id, _, tokens = item.strip().partition(":")
-        count = _number(tokens)
+        count = _parse_number(tokens)
         if not part_id or count is None:
             return tuple(parts)
         parts.append(PromptPart(part_id, int(count)))
     return tuple(parts)
 
 
-def _number(text: str) -> float | None:
+def _parse_number(text: str) -> float | None:
     try:
         value = float(text)
     except ValueError:
@@ -164,6 +216,6 @@
     return value if 0 <= value < 1e12 else None
 
 
-def _whole(text: str) -> int | None:
+def _parse_integer(text: str) -> int | None:
     text = text.strip()
     return int(text) if text.isdecimal() and len(text) < 16 else None
--- a/berylnotch/platform/targets.py
+++ b/berylnotch/platform/targets.py
@@ -1,4 +1,4 @@
-"""The platform's list of targets, and calls to engines."""
+"""Requests for the platform's target list, engines' reports and weights orders."""
 
 from __future__ import annotations
 
@@ -14,24 +14,30 @@
 from berylnotch.platform import names
 from berylnotch.platform.fields import (
     FieldError,
-    array,
     as_object,
-    flag,
-    integer,
+    get_bool,
+    get_integer,
+    get_list,
+    get_string,
     parse_json,
-    text,
 )
 from berylnotch.util.address import parse_address
 
-_STATES = {"ready": False, "draining": True}
+_IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
 @frozen
 class TargetPage:
-    """A page of the list.
-
-    ``skipped`` counts the entries that name no usable target; ``next_page`` is
-    empty on the last page.
+    """A page of the target list.
+
+    Parameters
+    ----------
+    targets : tuple of ListedTarget
+        Usable targets of the page.
+    skipped : int
+        Number of entries that describe no usable target.
+    next_page : str
+        Token of the next page, empty on the last page.
     """
 
     targets: tuple[ListedTarget, ...]
@@ -41,9 +47,20 @@
 
 @frozen
 class EngineReport:
-    """What an engine says of itself, some hundred ms ago.
-
-    ``orders_taken`` counts the orders that it accepted since it started.
+    """An engine's report of its own state, which lags by some hundred ms.
+
+    Parameters
+    ----------
+    target_id : str
+        Identity of the engine.
+    born_ms : int or None
+        Unix time in milliseconds of the engine's start, None if not reported.
+    is_busy : bool
+        Whether the engine is carrying out an order.
+    orders_taken : int
+        Number of orders that the engine has accepted since its start.
+    models : tuple of ModelVersion
+        Weights that the engine runs.
     """
 
     target_id: str
@@ -57,7 +74,21 @@
 class WeightsOrder:
     """Order to load weights.
 
-    ``orders_taken`` makes the engine refuse it if it took another order meanwhile.
+    Parameters
+    ----------
+    model : str
+        Name of the model.
+    version : int
+        Weights version to load.
+    holder : str
+        Name of the process that sends the order.
+    epoch : int
+        Fencing token of the leader that sends the order.
+    target_id : str
+        Identity that the engine must have to accept the order.
+    orders_taken : int or None
+        Number of orders that the engine reported. The engine refuses the order if it
+        has accepted another one since. None omits this check.
     """
 
     model: str
@@ -68,29 +99,31 @@
     orders_taken: int | None
 
 
-def list_request(host: str, page: str) -> HttpRequest:
-    """Return the call for a page of the list."""
+def list_request(host: str, page_token: str) -> HttpRequest:
+    """Return the call for a page of the target list, the first one without a token."""
     target = "/instances"
-    if page:
-        target += f"?pageToken={quote(page, safe='')}"
+    if page_token:
+        target += f"?pageToken={quote(page_token, safe='')}"
     return HttpRequest("GET", target, Headers((("Host", host),)))
 
 
 def decode_page(response: HttpResponse) -> TargetPage:
-    """Read a page of the list.
+    """Decode a page of the target list.
 
     Raises
     ------
     FieldError
-        If the answer is no page.
+        If the response is not a page of the list.
     """
     if response.status != 200:
-        raise FieldError(f"list answered {response.status}")
-    # An entry of another writer may hold anything; it must not hide the others.
+        raise FieldError(f"target list responded with status {response.status}")
+    # Other systems write entries too. A malformed entry must not hide the others, so
+    # decoding is lenient.
     values = as_object(parse_json(response.body, is_strict=False), "list")
-    items = array(values, "instances")
-    targets = [target for target in map(_listed, items) if target is not None]
-    # "nextToken" is the following page here; a position among events elsewhere.
+    items = get_list(values, "instances")
+    targets = [target for target in map(_decode_target, items) if target is not None]
+    # "nextToken" is a page token here; in the events of KV stores, the field of the
+    # same name is a position.
     next_page = values.get("nextToken")
     if next_page is not None and not isinstance(next_page, str):
         raise FieldError("nextToken is neither a string nor null")
@@ -103,22 +136,22 @@
 
 
 def decode_report(response: HttpResponse) -> EngineReport:
-    """Read an engine's report.
+    """Decode an engine's report.
 
     Raises
     ------
     FieldError
-        If the answer is no report.
+        If the response is not a report.
     """
     if response.status != 200:
-        raise FieldError(f"report answered {response.status}")
+        raise FieldError(f"engine report responded with status {response.status}")
     values = as_object(parse_json(response.body, is_strict=False), "report")
     return EngineReport(
-        target_id=text(values, "id", "") or response.headers.get(names.TARGET_ID),
-        born_ms=integer(values, "born", None),
-        is_busy=flag(values, "busy", False),
-        orders_taken=integer(values, "seqNo", 0),
-        models=_models(values),
+        target_id=get_string(values, "id", "") or response.headers.get(names.TARGET_ID),
+        born_ms=get_integer(values, "born", None),
+        is_busy=get_bool(values, "busy", False),
+        orders_taken=get_integer(values, "seqNo", 0),
+        models=_decode_models(values),
     )
 
 
@@ -128,45 +161,51 @@
         "op": "version",
         "model": order.model,
         "version": order.version,
-        # Runs finish first; a stream is neither reset nor mixed.
+        # The engine waits for its runs to finish before it loads: no stream is reset,
+        # and none continues with other weights.
         "method": "wait",
         "holder": order.holder,
         "fence": order.epoch,
     }
     if order.orders_taken is not None:
-        # The name says nothing: the order holds only at this count of orders.
+        # The engine refuses the order unless this is its number of accepted orders.
         body["expectedRev"] = order.orders_taken
     headers = Headers(
         (
             ("Host", host),
             ("Content-Type", "application/json"),
-            (names.EXPECT_TARGET, order.target_id),
+            (names.EXPECTED_TARGET, order.target_id),
         )
     )
     return HttpRequest("POST", "/order", headers, json.dumps(body).encode())
 
 
-def _listed(value: Any) -> ListedTarget | None:
-    """Return a usable target; entries of other writers are none."""
+def _decode_target(value: Any) -> ListedTarget | None:
+    """Return the target of a list entry, None if the entry is not usable.
+
+    Other systems may write entries with missing, malformed or unknown values.
+    """
     try:
         values = as_object(value, "entry")
-        state = text(values, "state")
-        if state not in _STATES:
+        state = get_string(values, "state")
+        if state not in _IS_LEAVING_BY_STATE:
             return None
         return ListedTarget(
-            target_id=text(values, "id"),
-            service=text(values, "service"),
-            address=str(parse_address(text(values, "address"))),
-            failure_domain=text(values, "zone"),
-            slots=integer(values, "slots", 0),
-            is_leaving=_STATES[state],
-            born_ms=integer(values, "born", 0),
-            models=_models(values),
+            target_id=get_string(values, "id"),
+            service=get_string(values, "service"),
+            address=str(parse_address(get_string(values, "address"))),
+            failure_domain=get_string(values, "zone"),
+            slots=get_integer(values, "slots", 0),
+            is_leaving=_IS_LEAVING_BY_STATE[state],
+            born_ms=get_integer(values, "born", 0),
+            models=_decode_models(values),
         )
     except (FieldError, ConfigurationError):
         return None
 
 
-def _models(values: dict[str, Any]) -> tuple[ModelVersion, ...]:
-    items = (as_object(item, "model") for item in array(values, "models", []))
-    return tuple(ModelVersion(text(i, "name"), integer(i, "version")) for i in items)
+def _decode_models(values: dict[str, Any]) -> tuple[ModelVersion, ...]:
+    items = (as_object(item, "model") for item in get_list(values, "models", []))
+    return tuple(
+        ModelVersion(get_string(i, "name"), get_integer(i, "version")) for i in items
+    )
--- a/tests/test_gateways/test_answers.py
+++ b/tests/test_gateways/test_answers.py
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("read", READERS)
 @given(value=_json, status=st.sampled_from((200, 200, 404, 409, 429, 503)))
-def test_any_answer_is_read_or_refused_as_a_gateway_error(read, value, status):
+def test_arbitrary_json_is_decoded_or_raises_a_gateway_error(read, value, status):
     try:
         read(status, json.dumps(value).encode())
     except GatewayError:
@@ -49,20 +49,20 @@
 
 @pytest.mark.parametrize("read", READERS)
 @pytest.mark.parametrize("body", [b"", b"{", b"\xff", b"[" * 100_000])
-def test_broken_json_is_refused(read, body):
+def test_malformed_json_is_rejected(read, body):
     with pytest.raises(BadAnswerError):
         read(200, body)
 
 
-def test_load_becomes_a_report_no_newer_than_its_question():
+def test_load_report_is_dated_by_request_time_and_age():
     body = b'{"incarnation": "i", "queue_wait_s": 2, "age_s": 0.5, "name": "E1"}'
     load = read_load(200, body)
     assert load == TargetLoad(incarnation="i", queue_wait_s=2.0, age_s=0.5)
-    report = to_report(load, asked_at=10.0)
+    report = to_report(load, requested_at=10.0)
     assert (report.measured_at, report.queue_wait_s) == (9.5, 2.0)
 
 
-def test_cache_events_with_a_gap_are_kept_in_order():
+def test_cache_events_may_have_gaps_but_must_be_ordered():
     events = [
         {"sequence": 1, "kind": "stored", "block": "0a"},
         {"sequence": 3, "kind": "removed", "block": "0b"},
@@ -91,16 +91,16 @@
     assert read_vms(200, body).vms[0].state is VmState.LEAVING
 
 
-def test_weight_store_above_its_rate():
+def test_weight_store_rate_limit():
     with pytest.raises(BusyError):
         read_versions(429, b"")
     versions = read_versions(200, b'{"versions": [{"version": "v1"}]}')
-    assert versions.has("v1")
-    assert not versions.has("v2")
+    assert versions.has_version("v1")
+    assert not versions.has_version("v2")
 
 
 @pytest.mark.parametrize(("weights", "pieces"), [("v1", 3), ("v0", 0)])
-def test_kept_cache_of_other_weights_is_not_imported(weights, pieces):
+def test_stored_cache_of_other_weights_is_not_imported(weights, pieces):
     body = json.dumps({"pieces": 3, "weights": weights}).encode()
     assert read_lookup(200, body, "v1", 4) == pieces
     with pytest.raises(BadAnswerError):
--- a/tests/test_gateways/test_requests.py
+++ b/tests/test_gateways/test_requests.py
@@ -25,7 +25,7 @@
 TARGET = EngineAddress("127.0.0.1:1", "target-credential")
 
 
-def plain(**kwargs):
+def make_plain(**kwargs):
     values = {
         "method": "POST",
         "path": "/orders",
@@ -40,7 +40,7 @@
     return PlainRequest(**values)
 
 
-def generation(**kwargs):
+def make_generation(**kwargs):
     values = {
         "path": "/v1/completions",
         "body": b"{}",
@@ -71,8 +71,10 @@
     st.dictionaries(_names, _values),
     st.lists(st.sampled_from(("a=1", f"key={KEY}", "key=bn%2D0123456789abcdef"))),
 )
-def test_no_part_of_a_plain_request_holds_the_key(headers, query):
-    request = build_plain(TARGET, plain(headers=headers, query="&".join(query)), 1.0)
+def test_no_part_of_a_plain_request_contains_the_key(headers, query):
+    request = build_plain(
+        TARGET, make_plain(headers=headers, query="&".join(query)), 1.0
+    )
     text = repr(request)
     assert KEY not in text
     assert "bn%2D" not in text
@@ -106,12 +108,12 @@
 )
 def test_forbidden_plain_requests(changes):
     with pytest.raises(ForbiddenRequestError):
-        build_plain(TARGET, plain(**changes), 1.0)
+        build_plain(TARGET, make_plain(**changes), 1.0)
 
 
-def test_engine_request_carries_what_the_engine_needs():
+def test_engine_request_headers():
     request = build_generation(
-        TARGET, generation(stream=True, priority=3), 1.0, resume_after=7
+        TARGET, make_generation(stream=True, priority=3), 1.0, resume_after=7
     )
     fields = {header.name: header.value for header in request.headers}
     assert fields["authorization"] == "Bearer target-credential"
@@ -125,17 +127,17 @@
 @pytest.mark.parametrize(
     "changes", [{"path": "/standin/orders"}, {"path": "/v1/completions/"}]
 )
-def test_other_paths_of_engines_cannot_be_reached(changes):
+def test_other_engine_paths_are_forbidden(changes):
     with pytest.raises(ForbiddenRequestError):
-        build_generation(TARGET, generation(**changes), 1.0)
+        build_generation(TARGET, make_generation(**changes), 1.0)
 
 
-def test_key_in_the_body_of_a_generation_is_refused():
+def test_key_in_generation_body_is_forbidden():
     with pytest.raises(ForbiddenRequestError):
-        build_generation(TARGET, generation(body=f'"{KEY}"'.encode()), 1.0)
+        build_generation(TARGET, make_generation(body=f'"{KEY}"'.encode()), 1.0)
 
 
-def test_head_of_an_engine():
+def test_engine_response_head():
     head = read_engine_head(
         [
             b"HTTP/1.1 503 Service Unavailable\r\n",
@@ -155,7 +157,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=4))
-def test_any_head_is_read_or_refused(lines):
+def test_arbitrary_head_is_decoded_or_rejected(lines):
     try:
         read_plain_head(lines)
     except BadAnswerError:
@@ -163,7 +165,7 @@
 
 
 @given(st.binary(max_size=30))
-def test_any_body_is_judged(body):
+def test_arbitrary_body_is_no_complete_response(body):
     assume(b"choices" not in body)
     assert not is_whole_answer(body)
     assert completion_tokens(body) == 0
@@ -179,6 +181,6 @@
         (b"", False),
     ],
 )
-def test_whole_answers(body, whole):
+def test_complete_responses(body, whole):
     assert is_whole_answer(body) is whole
     assert completion_tokens(body) == (3 if whole else 0)
--- a/tests/test_platform/test_boundary.py
+++ b/tests/test_platform/test_boundary.py
@@ -1,4 +1,8 @@
-"""No module outside the platform's folder knows the platform's names."""
+"""Only berylnotch/platform may contain names of the platform's protocol.
+
+A name that is used elsewhere would have to be changed there too when the platform
+changes its protocol.
+"""
 
 import re
 from pathlib import Path
@@ -7,7 +11,8 @@
 
 ROOT = Path(berylnotch.__file__).parent
 
-#: Names of the wire that mean nothing elsewhere. Headers are known by their prefix.
+#: Names of the platform's protocol that have no other use. Headers are recognised by
+#: their prefix.
 WIRE_NAMES = re.compile(
     r"Berylnotch-[A-Z]|pathPrefix|trafficSplit|routeType|timeoutMs|targetLatencyMs"
     r"|apiKeys|ratePerS|uncachedTokens|kvStoreAddr|seqNo|expectedRev|coldRemainingMs"
@@ -15,7 +20,7 @@
     r"|/instances|/kv-events|bootEpoch"
 )
 
-#: The product's own protocol, older than the platform, names headers likewise.
+#: Headers of this project's own protocol, which have the same prefix.
 OWN_HEADERS = re.compile(r"Berylnotch-(Claim|Run|Organisation|Event|Key)")
 
 
--- a/tests/test_platform/test_configuration.py
+++ b/tests/test_platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations at the platform's edge: good ones, and each kind of bad one."""
+"""Decoding of configurations, and rejection of each kind of invalid configuration."""
 
 import json
 
@@ -14,28 +14,28 @@
     return json.dumps(values).encode()
 
 
-def changed(path, value):
+def with_field(path, value):
     """Return a configuration with one field replaced."""
     values = configuration(3)
-    place = values
-    for step in path[:-1]:
-        place = place[step]
-    place[path[-1]] = value
+    container = values
+    for key in path[:-1]:
+        container = container[key]
+    container[path[-1]] = value
     return values
 
 
-def test_reads_routes_services_and_organisations():
-    read = decode_configuration(encode(configuration(3)))
-    chat, book, _ = read.routes
-    assert read.version == 3
+def test_decodes_routes_services_and_organisations():
+    decoded = decode_configuration(encode(configuration(3)))
+    chat, book, _ = decoded.routes
+    assert decoded.version == 3
     assert chat.kind is RouteKind.STREAM and chat.is_resumable and chat.is_repeatable
     assert book.kind is RouteKind.NON_IDEMPOTENT and not book.is_repeatable
     assert book.splits == (Split("desk", 1.0),)
     assert chat.timeout_s == 5.0 and chat.max_gap_s == 0.25
-    assert read.services[0].engine.models == ("model-1",)
-    assert read.organisations[0].counts_tokens
-    assert read.organisations[0].default_cost == 200
-    assert read.limits.header_s == 1.0
+    assert decoded.services[0].engine.models == ("model-1",)
+    assert decoded.organisations[0].counts_tokens
+    assert decoded.organisations[0].default_cost == 200
+    assert decoded.limits.header_s == 1.0
 
 
 def test_without_organisations_no_key_is_needed():
@@ -45,7 +45,7 @@
 
 
 def test_unknown_fields_are_ignored():
-    values = changed(("routes", 0, "novelty"), {"a": 1})
+    values = with_field(("routes", 0, "novelty"), {"a": 1})
     assert decode_configuration(encode(values)).version == 3
 
 
@@ -90,12 +90,12 @@
         (("limits",), [1], "limits is not an object"),
     ],
 )
-def test_refuses_with_a_reason(path, value, reason):
+def test_rejects_invalid_field_with_reason(path, value, reason):
     with pytest.raises(InvalidConfigurationError, match=reason):
-        decode_configuration(encode(changed(path, value)))
+        decode_configuration(encode(with_field(path, value)))
 
 
-def test_refuses_two_organisations_with_one_key():
+def test_rejects_key_shared_by_two_organisations():
     values = configuration(3)
     values["tenants"].append(
         {"name": "beta", "apiKeys": values["tenants"][0]["apiKeys"]}
@@ -118,6 +118,6 @@
         b"[" * 100_000,
     ],
 )
-def test_refuses_what_cannot_be_read(body):
+def test_rejects_malformed_json(body):
     with pytest.raises(InvalidConfigurationError):
         decode_configuration(body)
--- a/tests/test_platform/test_requests.py
+++ b/tests/test_platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Headers of callers, and what a target gets of them."""
+"""Decoding of callers' headers, and the headers that are sent to a target."""
 
 from berylnotch.net.messages import Headers, HttpRequest
 from berylnotch.platform.requests import (
@@ -10,13 +10,13 @@
 )
 
 
-def request(*pairs, method="POST", body=b"body"):
+def make_request(*pairs, method="POST", body=b"body"):
     return HttpRequest(method, "/a/b?c=d", Headers((("Host", "h"), *pairs)), body)
 
 
-def test_reads_a_model_request():
+def test_decodes_model_request():
     caller = decode_request(
-        request(
+        make_request(
             ("Authorization", "Bearer secret"),
             ("Berylnotch-Request-Id", "id-1"),
             ("Berylnotch-Deadline-Ms", "2500"),
@@ -36,7 +36,7 @@
 
 def test_malformed_values_count_as_absent():
     caller = decode_request(
-        request(
+        make_request(
             ("Authorization", "Basic secret"),
             ("Berylnotch-Deadline-Ms", "soon"),
             ("Berylnotch-Token-Count", "many"),
@@ -49,9 +49,9 @@
     assert caller.resume_after is None
 
 
-def test_target_gets_no_key_and_nothing_that_only_the_system_sets():
+def test_key_and_reserved_headers_are_removed():
     sent = encode_for_target(
-        request(
+        make_request(
             ("Authorization", "Bearer secret"),
             ("Berylnotch-Tenant", "forged"),
             ("Berylnotch-Cache-Salt", "forged"),
@@ -75,22 +75,22 @@
     assert text.startswith("POST /a/b?c=d HTTP/1.1\r\n") and text.endswith("body")
 
 
-def test_resume_replaces_the_callers_position():
+def test_resume_replaces_the_callers_last_event_id():
     sent = encode_for_target(
-        request(("Last-Event-Id", "2")),
+        make_request(("Last-Event-Id", "2")),
         TargetHeaders(deadline_s=1, target_id="t", resume_after=7),
     )
     assert sent.headers.get("Last-Event-Id") == "7"
     assert sent.headers.count("Last-Event-Id") == 1
 
 
-def test_only_a_statement_of_the_target_counts_as_not_run():
+def test_not_run_needs_its_header_or_status_421():
     assert not decode_answer(503, Headers()).is_not_run
     assert decode_answer(503, Headers((("Berylnotch-Not-Executed", "1"),))).is_not_run
     assert decode_answer(421, Headers()).is_not_run
 
 
-def test_refusal_tells_when_to_come_back():
+def test_refusal_has_retry_after():
     headers = refusal_headers("id-1", 0.25)
     assert headers.get("Retry-After") == "0.250"
     assert refusal_headers("id-1", None).get("Retry-After") == ""
--- a/tests/test_platform/test_targets.py
+++ b/tests/test_platform/test_targets.py
@@ -1,4 +1,4 @@
-"""The platform's list, engines' reports and orders."""
+"""Decoding of the target list and of engines' reports; encoding of orders."""
 
 import json
 
@@ -15,7 +15,7 @@
     order_request,
 )
 
-GOOD = {
+VALID_ENTRY = {
     "id": "i-1",
     "service": "llm",
     "address": "10.0.0.1:80",
@@ -27,17 +27,17 @@
 }
 
 
-def page(*entries, next_page=None):
+def make_page(*entries, next_page=None):
     body = {"instances": list(entries), "nextToken": next_page}
     return HttpResponse(200, Headers(), json.dumps(body).encode())
 
 
-def test_reads_a_target():
-    read = decode_page(page(GOOD, next_page="p-2"))
-    (target,) = read.targets
+def test_decodes_target():
+    decoded = decode_page(make_page(VALID_ENTRY, next_page="p-2"))
+    (target,) = decoded.targets
     assert target.target_id == "i-1" and target.address == "10.0.0.1:80"
     assert target.models == (ModelVersion("m", 2),) and target.born_ms == 5
-    assert read.next_page == "p-2" and read.skipped == 0
+    assert decoded.next_page == "p-2" and decoded.skipped == 0
 
 
 @pytest.mark.parametrize(
@@ -56,16 +56,20 @@
         {"slots": "many"},
     ],
 )
-def test_leaves_out_entries_of_other_writers(change):
-    read = decode_page(page({**GOOD, **change}, GOOD, 5, None, []))
-    assert [t.target_id for t in read.targets] == ["i-1"]
-    assert read.skipped == 4
+def test_skips_unusable_entries(change):
+    decoded = decode_page(
+        make_page({**VALID_ENTRY, **change}, VALID_ENTRY, 5, None, [])
+    )
+    assert [t.target_id for t in decoded.targets] == ["i-1"]
+    assert decoded.skipped == 4
 
 
-def test_unreadable_bytes_of_one_entry_do_not_hide_the_others():
-    body = page({**GOOD, "id": "odd"}, GOOD).body.replace(b'"odd"', b'"\xff\xfe"', 1)
-    read = decode_page(HttpResponse(200, Headers(), body))
-    assert "i-1" in [t.target_id for t in read.targets]
+def test_invalid_utf8_in_one_entry_does_not_hide_the_others():
+    body = make_page({**VALID_ENTRY, "id": "odd"}, VALID_ENTRY).body.replace(
+        b'"odd"', b'"\xff\xfe"', 1
+    )
+    decoded = decode_page(HttpResponse(200, Headers(), body))
+    assert "i-1" in [t.target_id for t in decoded.targets]
 
 
 @pytest.mark.parametrize(
@@ -77,7 +81,7 @@
         HttpResponse(200, Headers(), b'{"instances":[],"nextToken":5}'),
     ],
 )
-def test_refuses_what_is_no_page(response):
+def test_rejects_malformed_page(response):
     with pytest.raises(FieldError):
         decode_page(response)
 
@@ -86,10 +90,10 @@
     assert list_request("h", "a b&c").target == "/instances?pageToken=a%20b%26c"
 
 
-def test_reads_a_report_and_writes_an_order():
-    body = {"models": GOOD["models"], "busy": True, "seqNo": 3, "born": 5}
-    read = decode_report(HttpResponse(200, Headers(), json.dumps(body).encode()))
-    assert read.is_busy and read.orders_taken == 3
+def test_decodes_report_and_encodes_order():
+    body = {"models": VALID_ENTRY["models"], "busy": True, "seqNo": 3, "born": 5}
+    decoded = decode_report(HttpResponse(200, Headers(), json.dumps(body).encode()))
+    assert decoded.is_busy and decoded.orders_taken == 3
     order = WeightsOrder("m", 4, "core-1", 9, "i-1", 3)
     sent = order_request("h", order)
     assert json.loads(sent.body) == {
