--- a/berylnotch/gateways/cache_events.py
+++ b/berylnotch/gateways/cache_events.py
@@ -29,7 +29,7 @@
     Attributes
     ----------
     sequence : int
-        Sequence number in the engine's incarnation, from 1.
+        Number of the event in the engine's incarnation, from 1.
     kind : CacheEventKind
         Change of the block.
     block : bytes
--- a/berylnotch/gateways/engine.py
+++ b/berylnotch/gateways/engine.py
@@ -126,7 +126,7 @@
 
 
 def is_whole_answer(body: bytes) -> bool:
-    """Whether a body is a complete generation: a JSON object with choices."""
+    """Whether a body is a complete generation: a JSON object with a choice."""
     try:
         response = json.loads(body)
     except ValueError:
--- a/tests/test_gateways/test_answers.py
+++ b/tests/test_gateways/test_answers.py
@@ -68,12 +68,12 @@
         {"sequence": 3, "kind": "removed", "block": "0b"},
     ]
     answer = {"incarnation": "i", "weights": "v1", "last": 3, "events": events}
-    read = read_cache_events(200, json.dumps(answer).encode())
-    assert [e.kind for e in read.events] == [
+    decoded = read_cache_events(200, json.dumps(answer).encode())
+    assert [e.kind for e in decoded.events] == [
         CacheEventKind.STORED,
         CacheEventKind.REMOVED,
     ]
-    assert read.events[1].block == b"\x0b"
+    assert decoded.events[1].block == b"\x0b"
     answer["events"] = events[::-1]
     with pytest.raises(BadAnswerError):
         read_cache_events(200, json.dumps(answer).encode())
