--- a/berylnotch/platform/operators.py
+++ b/berylnotch/platform/operators.py
@@ -23,14 +23,14 @@
 
     PUT_CONFIGURATION = "put configuration"
     GET_CONFIGURATION = "get configuration"
-    NAME_WEIGHTS = "name weights"
+    ANNOUNCE_WEIGHTS = "name weights"
     UNKNOWN = "unknown"
 
 
 _CALLS = {
     ("PUT", "/config"): OperatorCall.PUT_CONFIGURATION,
     ("GET", "/config"): OperatorCall.GET_CONFIGURATION,
-    ("POST", "/version-put"): OperatorCall.NAME_WEIGHTS,
+    ("POST", "/version-put"): OperatorCall.ANNOUNCE_WEIGHTS,
 }
 
 #: Path at which callers request addresses of routers.
