--- a/benchmarks/fleet_choice.py
+++ b/benchmarks/fleet_choice.py
@@ -21,8 +21,8 @@
 from berylnotch.membership.ejection import Ejection
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 from berylnotch.membership.settings import MembershipSettings
-from berylnotch.placement.chains import Chain, PromptPart, make_chain
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
+from berylnotch.placement.chains import PrefixChain, PromptPart, make_prefix_chain
 from berylnotch.placement.ring import Ring
 
 #: Longest time that is told apart, in microseconds.
@@ -52,10 +52,10 @@
     engines = [_engine(number) for number in range(args.engines)]
     by_id = {engine.target_id: engine for engine in engines}
     ring = Ring([(engine.target_id, engine) for engine in engines])
-    memory, times = PromptMemory(), HdrHistogram(1, HIGHEST_US, 3)
+    memory, times = CacheModel(), HdrHistogram(1, HIGHEST_US, 3)
     for number in range(args.decisions):
         chain = _chain(rng.randrange(args.subjects), args.parts)
-        marks = chain.marks("v1")
+        prefix_hashes = chain.prefix_hashes("v1")
         placing = Placing(
             now=float(number) / 1000,
             model="m",
@@ -64,8 +64,8 @@
             prompt_tokens=args.parts * PART_TOKENS,
             sample=args.sample,
             draw=rng.randrange,
-            run=lambda t, m=marks: memory.run(0.0, t.target_id, m),
-            holders=lambda m=marks: [
+            run=lambda t, m=prefix_hashes: memory.cached_levels(0.0, t.target_id, m),
+            holders=lambda m=prefix_hashes: [
                 by_id[name] for name in memory.holders(m, MAX_HOLDERS, rng.randrange)
             ],
             walk=ring.walk,
@@ -73,9 +73,9 @@
         begun = time.perf_counter()
         choice = choose(engines, placing)
         times.record_value(max(1, int(1e6 * (time.perf_counter() - begun))))
-        for level, mark in zip(chain.levels, marks, strict=True):
-            note = PromptNote(mark, level.tokens, choice.target.target_id)
-            memory.read(0.0, note, MEMORY)
+        for level, prefix_hash in zip(chain.levels, prefix_hashes, strict=True):
+            note = PromptNote(prefix_hash, level.tokens, choice.target.target_id)
+            memory.record_prefill(0.0, note, MEMORY)
         memory.take_notes()
     for percentile in (50.0, 99.0, 99.9):
         value = times.get_value_at_percentile(percentile)
@@ -89,12 +89,12 @@
     return Target(listed, Ejection(MembershipSettings()))
 
 
-def _chain(subject: int, parts: int) -> Chain:
+def _chain(subject: int, parts: int) -> PrefixChain:
     """Return a chain of a tree: half of the subjects share each further part."""
     names = [f"{depth}-{subject % 2 ** (3 * depth)}" for depth in range(parts - 1)]
     shared = [PromptPart(name, PART_TOKENS) for name in names]
     own = PromptPart("own", PART_TOKENS)
-    return make_chain((*shared, own), parts * PART_TOKENS)
+    return make_prefix_chain((*shared, own), parts * PART_TOKENS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_control.py
+++ b/benchmarks/fleet_control.py
@@ -31,7 +31,7 @@
     RouterReport,
     TargetLoad,
 )
-from berylnotch.placement.chains import prompt_mark
+from berylnotch.placement.chains import hash_prefix
 from berylnotch.transport.packing import pack, unpack
 
 #: Sizes that are measured: pairs of routers and targets.
@@ -109,9 +109,9 @@
 
 
 def _note(number: int) -> PromptNote:
-    mark = prompt_mark("v3", f"{number:012x}")
+    prefix_hash = hash_prefix("v3", f"{number:012x}")
     own = 3_000 + number * 37 % 1_000
-    return PromptNote(mark, 13_300, f"i-{number:010x}", own, False, own)
+    return PromptNote(prefix_hash, 13_300, f"i-{number:010x}", own, False, own)
 
 
 if __name__ == "__main__":
--- a/berylnotch/daemon/fleet/notes.py
+++ b/berylnotch/daemon/fleet/notes.py
@@ -7,7 +7,7 @@
 from attrs import evolve
 
 from berylnotch.group.messages import PromptNote
-from berylnotch.placement.mirror import Holding, PromptMemory
+from berylnotch.placement.cache_model import CacheModel, Holding
 
 #: Rate limit of forwarded notes, in notes per second. A note has 13 bytes, so the notes
 #: use a third of the 6 KB/s of control traffic that a router may receive.
@@ -41,7 +41,7 @@
     def __init__(self, capacity_of: Callable[[str], int | None]) -> None:
         self._capacity_of = capacity_of
         #: Cache contents that routers infer from the forwarded notes.
-        self._known_by_routers = PromptMemory()
+        self._known_by_routers = CacheModel()
         #: Own tokens of the dropped notes since the last forwarded one, by engine.
         self._dropped_tokens: dict[str, int] = {}
         self._bucket_level = NOTES_BURST
@@ -80,7 +80,7 @@
         dropped_tokens = self._dropped_tokens.pop(note.holder, 0)
         if dropped_tokens:
             note = evolve(note, own_tokens=note.own_tokens + dropped_tokens)
-        self._known_by_routers.hear(now, note, capacity)
+        self._known_by_routers.apply_note(now, note, capacity)
         return note
 
     def _reserved_share(
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -37,7 +37,7 @@
 from berylnotch.net.messages import Headers, HttpRequest
 from berylnotch.net.reading import HttpLimits
 from berylnotch.net.server import HttpServer, ServerConnection
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
 from berylnotch.platform.configuration import decode_configuration
 from berylnotch.platform.operators import (
     ADDRESS_PATH,
@@ -126,7 +126,7 @@
             metrics=self.metrics,
             targets=TargetTable(loop, entry_settings),
             gate=gate,
-            prompts=PromptMemory(),
+            prompts=CacheModel(),
             crashes=CrashGuard(entry_settings.membership),
             ask_quota=self._quota_checks.soon,
         )
--- a/berylnotch/daemon/fleet/updates.py
+++ b/berylnotch/daemon/fleet/updates.py
@@ -87,7 +87,7 @@
             context.loaded_targets.add(note.holder)
         capacity = context.cache_tokens(target) if target else None
         if target is not None or is_store(note.holder):
-            context.prompts.hear(now, note, capacity)
+            context.prompts.apply_note(now, note, capacity)
 
 
 def apply_crashes(context: EntryContext, crashes: Iterable[CrashMark]) -> None:
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -78,7 +78,7 @@
         self._context = context
         self._target = choice.target
         self._reading = PromptReading(context, choice, admitted, target_headers)
-        self._is_long = admitted.caller.chain.has_home
+        self._is_long = admitted.caller.chain.has_affinity
         self._expected_s = choice.delay_ms / 1000
         self._admitted = admitted
         self._target_headers = target_headers
--- a/berylnotch/entry/candidates.py
+++ b/berylnotch/entry/candidates.py
@@ -15,7 +15,7 @@
 
 from berylnotch.entry.model import Placing
 from berylnotch.entry.targets import Target
-from berylnotch.placement.mixing import mix
+from berylnotch.placement.mixing import rendezvous_weight
 
 #: Maximum number of engines that hold a part of a prompt and are compared for it.
 MAX_HOLDERS = 12
@@ -53,10 +53,14 @@
     if not placing.sample or placing.walk is None:
         usable = usable_targets(targets, placing)
         if placing.sample:
-            usable.sort(key=lambda t: mix(t.target_id, path))
-            holders = [t for t in usable[placing.sample :] if placing.run(t).coming]
+            usable.sort(key=lambda t: rendezvous_weight(t.target_id, path))
+            holders = [
+                t for t in usable[placing.sample :] if placing.run(t).ready_or_pending
+            ]
             usable = usable[: placing.sample] + holders
-        home = min(usable, key=lambda t: mix(t.target_id, path), default=None)
+        home = min(
+            usable, key=lambda t: rendezvous_weight(t.target_id, path), default=None
+        )
         return home, usable
     eligible = (t for t in placing.walk(path) if is_eligible(t, placing))
     nearest = list(islice(eligible, placing.sample))
@@ -118,7 +122,7 @@
     path = placing.chain.path
     if placing.walk is not None:
         return islice(placing.walk(path), MAX_RING_STEPS)
-    return sorted(targets, key=lambda t: mix(t.target_id, path))
+    return sorted(targets, key=lambda t: rendezvous_weight(t.target_id, path))
 
 
 def usable_targets(targets: Collection[Target], placing: Placing) -> list[Target]:
@@ -138,7 +142,7 @@
     A fallback is a target that several routers have ejected after failures and that
     this router does not probe, or, for long prompts, an engine that is being emptied.
     """
-    if target.is_emptying and placing.chain.has_home:
+    if target.is_emptying and placing.chain.has_affinity:
         return True
     return target.is_avoided(placing.now)
 
--- a/berylnotch/entry/choice.py
+++ b/berylnotch/entry/choice.py
@@ -24,7 +24,7 @@
 from berylnotch.entry.model import Choice, Placing
 from berylnotch.entry.pricing import Holders, begins_in_time, price, priced, worth_ms
 from berylnotch.entry.targets import Target
-from berylnotch.placement.mixing import mix
+from berylnotch.placement.mixing import rendezvous_weight
 
 #: Cost of a copy in addition to its transfer, in ms for 1,000 tokens: the copy evicts
 #: another prompt.
@@ -54,7 +54,7 @@
     Later requests go to the engine that holds the longest prefix of the prompt. As the
     prompt queue of that engine grows, they go to other engines, which copy the prefix.
     """
-    if not placing.chain.has_home:
+    if not placing.chain.has_affinity:
         return _choose_for_short_prompt(targets, placing)
     home, usable = long_prompt_candidates(targets, placing)
     holders = Holders(usable, placing)
@@ -101,7 +101,7 @@
 
     best = min(
         choices,
-        key=lambda c: (cost_ms(c), mix(c.target.target_id, "")),
+        key=lambda c: (cost_ms(c), rendezvous_weight(c.target.target_id, "")),
         default=None,
     )
     if best is None or not homes:
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -16,13 +16,13 @@
 from berylnotch.membership.crashes import CrashGuard
 from berylnotch.membership.marks import SharedLosses
 from berylnotch.membership.naming import WeightsNames
+from berylnotch.placement.cache_model import CacheModel
 from berylnotch.placement.costs import (
     DEFAULT_COPY_PER_MS,
     DEFAULT_STORE_PER_MS,
     CostMeter,
     EngineCosts,
 )
-from berylnotch.placement.mirror import PromptMemory
 from berylnotch.routing.model import Service
 from berylnotch.routing.table import RouteTable
 from berylnotch.settings.fleet import FleetSettings
@@ -61,7 +61,7 @@
         Targets and the connections to them.
     gate : QuotaGate
         Rate limits of the organisations.
-    prompts : PromptMemory
+    prompts : CacheModel
         Prompts that engines and stores probably hold.
     crashes : CrashGuard
         Guard against requests that crash targets.
@@ -98,7 +98,7 @@
     metrics: Metrics
     targets: TargetTable
     gate: QuotaGate
-    prompts: PromptMemory
+    prompts: CacheModel
     crashes: CrashGuard
     losses: SharedLosses = field(factory=SharedLosses)
     crash_marks: list[CrashMark] = field(factory=list)
--- a/berylnotch/entry/model.py
+++ b/berylnotch/entry/model.py
@@ -7,9 +7,9 @@
 from attrs import field, frozen
 
 from berylnotch.entry.targets import Target
-from berylnotch.placement.chains import NO_CHAIN, Chain
+from berylnotch.placement.cache_model import NO_CACHED_LEVELS, CachedLevels
+from berylnotch.placement.chains import EMPTY_CHAIN, PrefixChain
 from berylnotch.placement.costs import EngineCosts
-from berylnotch.placement.mirror import NO_RUN, Run
 
 
 @frozen
@@ -76,7 +76,7 @@
     fresh_s: float = 0.0
     stale_s: float = float("inf")
     target_latency_s: float = 0.0
-    chain: Chain = NO_CHAIN
+    chain: PrefixChain = EMPTY_CHAIN
     prompt_tokens: int = 0
     wait_part: float = 1.0
     overshoot_ms: float = 0.0
@@ -84,7 +84,7 @@
     excluded: Collection[str] = ()
     sample: int = 0
     draw: Callable[[int], int] = lambda count: 0
-    run: Callable[[Target], Run] = lambda target: NO_RUN
+    run: Callable[[Target], CachedLevels] = lambda target: NO_CACHED_LEVELS
     holders: Callable[[], Collection[Target]] = lambda: ()
     saved: Callable[[Target], int] = lambda target: 0
     walk: Callable[[str], Iterator[Target]] | None = None
--- a/berylnotch/entry/placing.py
+++ b/berylnotch/entry/placing.py
@@ -10,9 +10,9 @@
 from berylnotch.entry.context import EntryContext
 from berylnotch.entry.model import Choice, Placing
 from berylnotch.entry.targets import Target
-from berylnotch.placement.chains import NO_CHAIN
-from berylnotch.placement.mirror import Run
-from berylnotch.placement.mixing import mix
+from berylnotch.placement.cache_model import CachedLevels
+from berylnotch.placement.chains import EMPTY_CHAIN
+from berylnotch.placement.mixing import rendezvous_weight
 from berylnotch.platform.requests import TargetHeaders
 from berylnotch.routing.model import Service
 from berylnotch.util.clock import boot_time
@@ -41,26 +41,28 @@
     now = boot_time()
     model = caller.model if service.engine is not None else ""
     chain, prompts, targets = caller.chain, context.prompts, context.targets
-    store = select_store(context, service, chain.store_key) if chain.has_home else ""
+    store = (
+        select_store(context, service, chain.store_key) if chain.has_affinity else ""
+    )
 
-    def level_marks(target: Target) -> tuple[int, ...]:
-        return chain.marks(cache_salt(admitted, target, model))
+    def level_hashes(target: Target) -> tuple[int, ...]:
+        return chain.prefix_hashes(cache_salt(admitted, target, model))
 
-    def cached_run(target: Target) -> Run:
-        return prompts.run(now, target.target_id, level_marks(target))
+    def cached_run(target: Target) -> CachedLevels:
+        return prompts.cached_levels(now, target.target_id, level_hashes(target))
 
     def find_holders() -> list[Target]:
         target_ids = {
             target_id
             for sample in targets.weights_samples(service.name)
             for target_id in prompts.holders(
-                level_marks(sample), MAX_HOLDERS, random.randrange
+                level_hashes(sample), MAX_HOLDERS, random.randrange
             )
         }
         return [t for t in map(targets.get, target_ids) if t is not None]
 
     def saved_levels(target: Target) -> int:
-        return prompts.saved_levels(now, store, level_marks(target))
+        return prompts.saved_levels(now, store, level_hashes(target))
 
     has_many_routers = context.router_count > settings.max_routers_unsampled
     return Placing(
@@ -71,7 +73,7 @@
         fresh_s=settings.fresh_weights_s,
         stale_s=context.fleet.bounds.weights_s - settings.weights_margin_s,
         target_latency_s=admitted.route.target_latency_s,
-        chain=chain if model else NO_CHAIN,
+        chain=chain if model else EMPTY_CHAIN,
         prompt_tokens=caller.prompt_tokens if model else 0,
         wait_part=context.meter(service.name).wait_part(
             admitted.priority, admitted.is_urgent
@@ -124,7 +126,7 @@
     """
     target = choice.target
     fetch_from = save_to = ""
-    if placing.chain.has_home and not run_origin:
+    if placing.chain.has_affinity and not run_origin:
         # Asking a store that lacks the prompt costs about 1 ms.
         store = select_store(context, service, placing.chain.store_key)
         fetch_from = choice.source.listed.address if choice.source else store
@@ -158,7 +160,9 @@
         return ""
     addresses = [s.store_address for s in context.routes.stores]
     reachable = [address for address in addresses if address not in context.down_stores]
-    return min(reachable, key=lambda address: mix(address, store_key), default="")
+    return min(
+        reachable, key=lambda address: rendezvous_weight(address, store_key), default=""
+    )
 
 
 def cache_salt(admitted: Admitted, target: Target, model: str) -> str:
--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -6,7 +6,7 @@
 
 from berylnotch.entry.model import Choice, Placing
 from berylnotch.entry.targets import Target
-from berylnotch.placement.mirror import Run
+from berylnotch.placement.cache_model import CachedLevels
 
 #: Cost of each request in flight at an engine, in ms: the time by which it lengthens
 #: the steps of the other requests.
@@ -65,7 +65,7 @@
         for target in targets:
             self._add(target)
 
-    def run(self, target: Target) -> Run:
+    def run(self, target: Target) -> CachedLevels:
         """Return the levels that a target holds."""
         return self._runs[target.target_id]
 
@@ -83,11 +83,11 @@
 
     def _add(self, target: Target) -> None:
         run = self.run(target)
-        if not run.coming:
+        if not run.ready_or_pending:
             return
         version = target.version(self._placing.model)
         self._known_levels[version] = max(
-            self._known_levels.get(version, 0), run.coming
+            self._known_levels.get(version, 0), run.ready_or_pending
         )
         if target.is_loading or target.ejection.blocks(self._placing.now):
             return
@@ -96,7 +96,7 @@
             self._sources[version] = target
 
 
-def _is_better_source(run: Run, other: Run) -> bool:
+def _is_better_source(run: CachedLevels, other: CachedLevels) -> bool:
     """Return whether an engine holds more levels, or as many that were used later.
 
     Engines reuse the memory of the least recently used prompts first, so recently used
@@ -108,7 +108,7 @@
 def price(target: Target, placing: Placing, holders: Holders) -> Choice:
     """Return the expected delay at a target, and how it obtains the prompt."""
     chain, costs = placing.chain, placing.costs
-    held = chain.total(holders.run(target).coming)
+    held = chain.total(holders.run(target).ready_or_pending)
     own_tokens = holders.own_tokens
     # The unread tokens of levels that the target is still reading are counted in its
     # queue already.
--- a/berylnotch/entry/reading.py
+++ b/berylnotch/entry/reading.py
@@ -8,7 +8,7 @@
 from berylnotch.entry.context import EntryContext
 from berylnotch.entry.model import Choice
 from berylnotch.group.messages import PromptNote
-from berylnotch.placement.mirror import Holding
+from berylnotch.placement.cache_model import Holding
 from berylnotch.platform.requests import TargetHeaders
 from berylnotch.util.clock import boot_time
 
@@ -56,7 +56,7 @@
         if self._target_headers.run_origin:
             # The KV cache of a resumed run is not reusable for other prompts.
             tokens = self._caller.prompt_tokens
-            self._context.prompts.fill(self._target.target_id, tokens)
+            self._context.prompts.add_unshared_tokens(self._target.target_id, tokens)
             return
         if self._note_prompt(is_ready=False):
             # Until other routers receive this note, they choose the same engine.
@@ -80,8 +80,10 @@
     def close(self) -> None:
         """End the tracking; a prompt that is still unread counts as not held."""
         if not self._is_read and not self._target_headers.run_origin:
-            for mark in self._marks():
-                self._context.prompts.not_read(self._target.target_id, mark)
+            for prefix_hash in self._prefix_hashes():
+                self._context.prompts.cancel_prefill(
+                    self._target.target_id, prefix_hash
+                )
         self._release_unread()
 
     def _release_unread(self) -> None:
@@ -102,8 +104,8 @@
         if self._tokens_ahead <= self._tokens:
             meter.note(self._tokens + self._tokens_ahead, first_event_ms)
 
-    def _marks(self) -> tuple[int, ...]:
-        return self._caller.chain.marks(self._target_headers.cache_salt)
+    def _prefix_hashes(self) -> tuple[int, ...]:
+        return self._caller.chain.prefix_hashes(self._target_headers.cache_salt)
 
     def _note_prompt(self, is_ready: bool) -> bool:
         """Note where the shared parts of the prompt are read and stored.
@@ -125,24 +127,25 @@
         caller, prompts, now = self._caller, self._context.prompts, boot_time()
         chain, holder = caller.chain, self._target.target_id
         capacity = self._context.cache_tokens(self._target)
-        if not chain.has_home:
+        if not chain.has_affinity:
             if not is_ready and capacity:
-                prompts.fill(holder, caller.prompt_tokens)
+                prompts.add_unshared_tokens(holder, caller.prompt_tokens)
             return False
         own_tokens = (
             0 if is_ready else max(0, caller.prompt_tokens - chain.shared_tokens)
         )
-        known = (Holding.READY, Holding.READY if is_ready else Holding.READING)
-        for level, mark in zip(chain.levels, self._marks(), strict=True):
+        known = (Holding.READY, Holding.READY if is_ready else Holding.PENDING)
+        for level, prefix_hash in zip(chain.levels, self._prefix_hashes(), strict=True):
             is_deepest = level is chain.levels[-1]
-            if not is_deepest and prompts.holding(now, holder, mark) in known:
+            if not is_deepest and prompts.holding(now, holder, prefix_hash) in known:
                 continue
-            note = PromptNote(mark, level.tokens, holder, is_ready=is_ready)
+            note = PromptNote(prefix_hash, level.tokens, holder, is_ready=is_ready)
             if is_deepest:
                 note = evolve(note, own_tokens=own_tokens, unread=self._unread)
-            prompts.read(now, note, capacity)
+            prompts.record_prefill(now, note, capacity)
             if is_ready and self._target_headers.save_to:
-                prompts.saved(
-                    now, PromptNote(mark, level.tokens, self._target_headers.save_to)
+                prompts.record_store_transfer(
+                    now,
+                    PromptNote(prefix_hash, level.tokens, self._target_headers.save_to),
                 )
         return True
--- a/berylnotch/group/messages.py
+++ b/berylnotch/group/messages.py
@@ -52,7 +52,7 @@
 class PromptNote:
     """Note on a shared prompt prefix that a target or a store holds or will hold.
 
-    ``prompt`` identifies the prefix (`berylnotch.placement.chains.prompt_mark`), and
+    ``prompt`` identifies the prefix (`berylnotch.placement.chains.hash_prefix`), and
     ``tokens`` is its length. ``holder`` is a target's identity or a store's address.
     ``own_tokens`` is the number of tokens in the rest of the prompt, which occupy the
     target's KV cache as well. ``is_ready`` is true once the prefix is prefilled, so
--- a/berylnotch/membership/answers.py
+++ b/berylnotch/membership/answers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from berylnotch.placement.mixing import mix
+from berylnotch.placement.mixing import rendezvous_weight
 
 #: Largest number of addresses that the address interface allows in one answer.
 MAX_ADDRESSES = 64
@@ -27,7 +27,9 @@
     other_addresses : iterable of str
         Addresses of the other routers that take callers.
     """
-    addresses = sorted(other_addresses, key=lambda address: mix(address, own_address))
+    addresses = sorted(
+        other_addresses, key=lambda address: rendezvous_weight(address, own_address)
+    )
     if is_ready:
         addresses.insert(0, own_address)
     return sorted(addresses[:MAX_ADDRESSES])
--- a/berylnotch/placement/mirror.py
+++ b/berylnotch/placement/cache_model.py
@@ -3,7 +3,7 @@
 Each router records the shared prefixes that engines prefill for its requests, sends
 these records to the other routers as notes, and applies their notes. An engine's cache
 is modelled as a list of prefixes in least recently used order. A prefix is identified
-by the 32-bit hash of its path (`berylnotch.placement.chains.prompt_mark`).
+by the 32-bit hash of its path (`berylnotch.placement.chains.hash_prefix`).
 """
 
 from __future__ import annotations
@@ -40,31 +40,31 @@
     """State of a prefix in an engine's cache, as estimated by a router."""
 
     NONE = "none"
-    READING = "reading"
+    PENDING = "reading"
     READY = "ready"
 
 
 @frozen
-class Run:
+class CachedLevels:
     """Number of leading levels of a chain that an engine probably caches.
 
     Parameters
     ----------
     ready : int
         Leading levels whose prefill is complete.
-    coming : int
+    ready_or_pending : int
         Leading levels whose prefill is complete or pending; at least ``ready``.
     used_at : float
         Router's time in seconds at which the deepest complete level was last used.
     """
 
     ready: int = 0
-    coming: int = 0
+    ready_or_pending: int = 0
     used_at: float = field(default=0.0, eq=False)
 
 
 #: Run of an engine that caches no level of a chain.
-NO_RUN = Run()
+NO_CACHED_LEVELS = CachedLevels()
 
 
 @define
@@ -88,7 +88,7 @@
     tokens: int = 0
 
 
-class PromptMemory:
+class CacheModel:
     """Model of the prefixes that engines and KV stores probably cache."""
 
     def __init__(self) -> None:
@@ -111,23 +111,29 @@
         if entry.is_ready:
             return Holding.READY
         is_pending = now - entry.used_at < PENDING_PREFILL_TTL_S
-        return Holding.READING if is_pending else Holding.NONE
+        return Holding.PENDING if is_pending else Holding.NONE
 
-    def run(self, now: float, target_id: str, hashes: Sequence[int]) -> Run:
+    def cached_levels(
+        self, now: float, target_id: str, hashes: Sequence[int]
+    ) -> CachedLevels:
         """Return the leading levels of a chain that an engine probably caches."""
         if target_id not in self._caches:
-            return NO_RUN
-        ready = coming = 0
+            return NO_CACHED_LEVELS
+        ready = ready_or_pending = 0
         used_at = 0.0
         for count in range(len(hashes), 0, -1):
             holding = self.holding(now, target_id, hashes[count - 1])
-            if holding is not Holding.NONE and not coming:
-                coming = count
+            if holding is not Holding.NONE and not ready_or_pending:
+                ready_or_pending = count
             if holding is Holding.READY:
                 ready = count
                 used_at = self._caches[target_id].entries[hashes[count - 1]].used_at
                 break
-        return Run(ready, coming, used_at) if coming else NO_RUN
+        return (
+            CachedLevels(ready, ready_or_pending, used_at)
+            if ready_or_pending
+            else NO_CACHED_LEVELS
+        )
 
     def holders(
         self, hashes: Sequence[int], limit: int, draw: Callable[[int], int]
@@ -163,7 +169,7 @@
                 return count
         return 0
 
-    def fill(self, target_id: str, tokens: int) -> None:
+    def add_unshared_tokens(self, target_id: str, tokens: int) -> None:
         """Record that an engine prefills a prompt without shared levels.
 
         The tokens are added to the next note of a pending prefill at the engine, so
@@ -178,7 +184,7 @@
         saved_at = self._store_entries.get((store, prefix_hash))
         return saved_at is not None and now - saved_at < STORE_ENTRY_TTL_S
 
-    def read(self, now: float, note: PromptNote, capacity: int) -> None:
+    def record_prefill(self, now: float, note: PromptNote, capacity: int) -> None:
         """Record a pending or complete prefill, and queue a note for other routers."""
         if not note.is_ready:
             unreported_tokens = self._unreported_tokens.pop(note.holder, 0)
@@ -187,19 +193,19 @@
         self._record_prefill(now, note, capacity)
         self._queue_note(note)
 
-    def not_read(self, target_id: str, prefix_hash: int) -> None:
+    def cancel_prefill(self, target_id: str, prefix_hash: int) -> None:
         """Remove the entry of a pending prefill that the engine did not complete."""
         cache = self._caches.get(target_id)
         entry = cache.entries.get(prefix_hash) if cache is not None else None
         if entry is not None and not entry.is_ready:
             self._evict(cache, target_id, prefix_hash)
 
-    def saved(self, now: float, note: PromptNote) -> None:
+    def record_store_transfer(self, now: float, note: PromptNote) -> None:
         """Record the transfer of a prefix to a KV store, and queue a note of it."""
         self._record_saved(now, note)
         self._queue_note(note)
 
-    def hear(self, now: float, note: PromptNote, capacity: int | None) -> None:
+    def apply_note(self, now: float, note: PromptNote, capacity: int | None) -> None:
         """Apply a note of another router; ``capacity`` is None for a KV store."""
         if capacity is None:
             self._record_saved(now, note)
--- a/berylnotch/placement/chains.py
+++ b/berylnotch/placement/chains.py
@@ -53,7 +53,7 @@
 
 
 @frozen
-class Chain:
+class PrefixChain:
     """Prefixes that a prompt shares with other prompts.
 
     Parameters
@@ -76,7 +76,7 @@
     _hashes: dict[str, tuple[int, ...]] = field(factory=dict, eq=False, repr=False)
 
     @property
-    def has_home(self) -> bool:
+    def has_affinity(self) -> bool:
         """Whether the prompt has prefix affinity to the engines that cache a level."""
         return bool(self.levels)
 
@@ -92,7 +92,7 @@
         """Return the tokens of the first ``count`` levels."""
         return self.levels[count - 1].total if count else 0
 
-    def marks(self, salt: str) -> tuple[int, ...]:
+    def prefix_hashes(self, salt: str) -> tuple[int, ...]:
         """Return a 32-bit hash for each level.
 
         With 10,000 prompts, the chance that any two have the same hash is about 1 in
@@ -106,21 +106,21 @@
         """
         hashes = self._hashes.get(salt)
         if hashes is None:
-            hashes = tuple(prompt_mark(salt, level.path) for level in self.levels)
+            hashes = tuple(hash_prefix(salt, level.path) for level in self.levels)
             self._hashes[salt] = hashes
         return hashes
 
 
 #: Chain of a prompt without shared parts.
-NO_CHAIN = Chain()
+EMPTY_CHAIN = PrefixChain()
 
 
-def prompt_mark(salt: str, path: str) -> int:
+def hash_prefix(salt: str, path: str) -> int:
     """Return the 32-bit hash that identifies a shared prefix of a prompt."""
     return zlib.crc32(f"{salt} {path}".encode())
 
 
-def make_chain(parts: Sequence[PromptPart], prompt_tokens: int) -> Chain:
+def make_prefix_chain(parts: Sequence[PromptPart], prompt_tokens: int) -> PrefixChain:
     """Return the chain of a prompt's parts.
 
     Invalid parts give a chain without levels, so the prompt has no prefix affinity and
@@ -134,17 +134,17 @@
         Tokens of the whole prompt; 0 if unknown.
     """
     if len(parts) < 2:
-        return NO_CHAIN
+        return EMPTY_CHAIN
     problem = _find_problem(parts, prompt_tokens)
     if problem:
-        return Chain(problem=problem)
+        return PrefixChain(problem=problem)
     levels, part_ids, total = [], [], 0
     for part in parts[:-1]:
         part_ids.append(part.part_id)
         total += part.tokens
         if total >= MIN_HOME_TOKENS and part.tokens:
             levels.append(SharedPrefix("/".join(part_ids), part.tokens, total))
-    return Chain(tuple(levels[-MAX_LEVELS:]), "/".join(part_ids), total)
+    return PrefixChain(tuple(levels[-MAX_LEVELS:]), "/".join(part_ids), total)
 
 
 def _find_problem(parts: Sequence[PromptPart], prompt_tokens: int) -> str:
--- a/berylnotch/placement/mixing.py
+++ b/berylnotch/placement/mixing.py
@@ -9,7 +9,7 @@
 
 
 @lru_cache(maxsize=8192)
-def mix(node: str, key: str) -> int:
+def rendezvous_weight(node: str, key: str) -> int:
     """Return the rendezvous weight of a node for a key; the lowest weight wins.
 
     The weight is equal in every process. It combines the checksums of the two
--- a/berylnotch/platform/requests.py
+++ b/berylnotch/platform/requests.py
@@ -5,7 +5,7 @@
 from attrs import frozen
 
 from berylnotch.net.messages import Headers, HttpRequest
-from berylnotch.placement.chains import Chain, PromptPart, make_chain
+from berylnotch.placement.chains import PrefixChain, PromptPart, make_prefix_chain
 from berylnotch.platform import names
 
 
@@ -26,7 +26,7 @@
     model: str
     prompt_tokens: int
     output_tokens: int
-    chain: Chain
+    chain: PrefixChain
     resume_after: int | None
 
     @property
@@ -90,7 +90,7 @@
         model=headers.get(names.MODEL),
         prompt_tokens=prompt_tokens,
         output_tokens=int(_number(counts[1]) or 0) if len(counts) > 1 else 0,
-        chain=make_chain(_parts(headers.get(names.PROMPT_PARTS)), prompt_tokens),
+        chain=make_prefix_chain(_parts(headers.get(names.PROMPT_PARTS)), prompt_tokens),
         resume_after=_whole(headers.get(names.LAST_EVENT_ID)),
     )
 
--- a/tests/test_daemon/test_fleet_notes.py
+++ b/tests/test_daemon/test_fleet_notes.py
@@ -11,7 +11,7 @@
     NoteFilter,
 )
 from berylnotch.group.messages import PromptNote
-from berylnotch.placement.mirror import Holding, PromptMemory
+from berylnotch.placement.cache_model import CacheModel, Holding
 
 CACHE_TOKENS = 142_992
 STORE = "10.0.0.9:8604"
@@ -122,7 +122,7 @@
     engine holds the prefix.
     """
     draw = random.Random(seed)
-    truth, router = PromptMemory(), PromptMemory()
+    truth, router = CacheModel(), CacheModel()
     homes = [f"e{draw.randrange(ENGINES)}" for _ in range(PREFIXES)]
     # A few prefixes get most of the requests.
     popularity = [1 / (n + 1) for n in range(PREFIXES)]
@@ -139,10 +139,10 @@
                 checked += 1
             own = draw.randrange(2 * SUFFIX_TOKENS)
             for note in (_prefill_started(prefix, home, own), _ready(prefix, home)):
-                truth.hear(now, note, CACHE_TOKENS)
+                truth.apply_note(now, note, CACHE_TOKENS)
                 batch.append(note)
         for note in select_notes(now, batch):
-            router.hear(now, note, CACHE_TOKENS)
+            router.apply_note(now, note, CACHE_TOKENS)
             forwarded += 1
     return correct / checked, forwarded / until_s
 
--- a/tests/test_daemon/test_fleet_updates.py
+++ b/tests/test_daemon/test_fleet_updates.py
@@ -16,7 +16,7 @@
 from berylnotch.group.columns import echo
 from berylnotch.group.messages import LoadsUpdate, PromptNote, TargetEntry, TargetLoad
 from berylnotch.membership.listing import ListedTarget
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
 from berylnotch.quota.bounds import FLEET_QUOTA
 from berylnotch.routing.model import Organisation
 from berylnotch.settings.fleet import FleetBounds
@@ -33,7 +33,7 @@
         targets=targets,
         loaded_targets=set(),
         own_notes=deque(),
-        prompts=PromptMemory(),
+        prompts=CacheModel(),
         cache_tokens=lambda target: 150_000,
     )
 
--- a/tests/test_entry/conftest.py
+++ b/tests/test_entry/conftest.py
@@ -11,7 +11,7 @@
 from berylnotch.group.messages import TargetEntry
 from berylnotch.membership.crashes import CrashGuard
 from berylnotch.membership.listing import ListedTarget, ModelVersion
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
 from berylnotch.platform.configuration import decode_configuration
 from berylnotch.quota.bounds import FLEET_QUOTA
 from berylnotch.quota.local import LocalQuota
@@ -36,7 +36,7 @@
         metrics=Metrics(),
         targets=TargetTable(loop, settings),
         gate=QuotaGate(LocalQuota(FLEET_QUOTA), settings.quota_wait_s),
-        prompts=PromptMemory(),
+        prompts=CacheModel(),
         crashes=CrashGuard(settings.membership),
     )
     values = configuration(3)
--- a/tests/test_entry/support.py
+++ b/tests/test_entry/support.py
@@ -8,8 +8,8 @@
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 from berylnotch.membership.settings import MembershipSettings
 from berylnotch.net.messages import Headers, HttpRequest
-from berylnotch.placement.chains import PromptPart, make_chain
-from berylnotch.placement.mirror import Holding, Run
+from berylnotch.placement.cache_model import CachedLevels, Holding
+from berylnotch.placement.chains import PromptPart, make_prefix_chain
 from berylnotch.platform.requests import decode_request
 from berylnotch.util.clock import boot_time
 
@@ -48,7 +48,7 @@
     """
     shared = [PromptPart(*part) for part in parts or [(shared_id, shared_tokens)]]
     own = PromptPart("own", prompt_tokens - sum(part.tokens for part in shared))
-    chain = make_chain((*shared, own), prompt_tokens)
+    chain = make_prefix_chain((*shared, own), prompt_tokens)
     if holding is not None:
         changes["run"] = lambda target: make_run(holding(target), len(chain.levels))
     values = {
@@ -67,8 +67,8 @@
 def make_run(holding, levels):
     """Return the cached prefix of an engine that holds or processes some levels."""
     if holding is Holding.NONE:
-        return Run()
-    return Run(levels if holding is Holding.READY else 0, levels)
+        return CachedLevels()
+    return CachedLevels(levels if holding is Holding.READY else 0, levels)
 
 
 def short_request(**changes):
--- a/tests/test_entry/test_choice.py
+++ b/tests/test_entry/test_choice.py
@@ -13,7 +13,7 @@
 
 from berylnotch.entry.candidates import MAX_RING_STEPS
 from berylnotch.entry.choice import choose, usable_in_s
-from berylnotch.placement.mirror import Holding, Run
+from berylnotch.placement.cache_model import CachedLevels, Holding
 from berylnotch.placement.ring import Ring
 from tests.test_entry.support import long_request, make_target, short_request
 
@@ -50,7 +50,7 @@
     engines = make_engines(3)
     reader = engines[0]
     reader.unread = 17_000
-    holding = held_by(reader, state=Holding.READING)
+    holding = held_by(reader, state=Holding.PENDING)
     assert choose(engines, long_request(holding=holding)).target is reader
     reader.unread = 400_000
     moved = choose(engines, long_request(holding=holding))
@@ -187,23 +187,25 @@
 
 def test_engine_with_the_longest_prefix_is_chosen():
     engines = make_engines(4)
-    runs = {"e1": Run(1, 1), "e2": Run(2, 2)}
-    placing = nested_request(lambda t: runs.get(t.target_id, Run()))
+    runs = {"e1": CachedLevels(1, 1), "e2": CachedLevels(2, 2)}
+    placing = nested_request(lambda t: runs.get(t.target_id, CachedLevels()))
     choice = choose(engines, placing)
     assert choice.target is engines[2] and choice.unread == 12_000 - 7512
 
 
 def test_prefix_that_no_engine_holds_is_not_counted_as_reprocessed():
     engines = make_engines(4)
-    runs = {"e1": Run(1, 1)}
-    choice = choose(engines, nested_request(lambda t: runs.get(t.target_id, Run())))
+    runs = {"e1": CachedLevels(1, 1)}
+    choice = choose(
+        engines, nested_request(lambda t: runs.get(t.target_id, CachedLevels()))
+    )
     assert choice.target is engines[1] and choice.unread == 12_000 - 4512
     assert choice.read_again == 0
 
 
 def test_engine_with_a_partial_prefix_copies_the_rest():
     engines = make_engines(2)
-    runs = {"e0": Run(1, 1), "e1": Run(2, 2)}
+    runs = {"e0": CachedLevels(1, 1), "e1": CachedLevels(2, 2)}
     engines[1].unread = 300_000
     choice = choose(engines, nested_request(lambda t: runs[t.target_id]))
     assert choice.target is engines[0] and choice.source is engines[1]
@@ -212,7 +214,7 @@
 
 def test_store_that_holds_more_than_an_engine_is_the_copy_source():
     engines = make_engines(2)
-    runs = {"e0": Run(), "e1": Run(1, 1)}
+    runs = {"e0": CachedLevels(), "e1": CachedLevels(1, 1)}
     engines[1].unread = 300_000
     placing = nested_request(lambda t: runs[t.target_id], saved=lambda t: 2)
     choice = choose(engines, placing)
@@ -264,7 +266,7 @@
 
     def run(target):
         examined.append(target)
-        return Run(2, 2) if target is engines[7] else Run()
+        return CachedLevels(2, 2) if target is engines[7] else CachedLevels()
 
     placing = nested_request(
         run,
--- a/tests/test_entry/test_load.py
+++ b/tests/test_entry/test_load.py
@@ -17,8 +17,8 @@
 from berylnotch.entry.choice import choose
 from berylnotch.entry.model import Choice
 from berylnotch.group.messages import PromptNote
-from berylnotch.placement.chains import prompt_mark
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
+from berylnotch.placement.chains import hash_prefix
 from tests.test_entry.support import long_request, make_target, short_request
 
 #: Prompt tokens that an engine reads in a step, the time to read them, and the fixed
@@ -80,7 +80,7 @@
     engines = [Engine(make_target(f"e{n}")) for n in range(5)]
     targets = [e.target for e in engines]
     by_id = {e.target.target_id: e for e in engines}
-    memory, ends = PromptMemory(), []
+    memory, ends = CacheModel(), []
     in_time = {True: 0, False: 0}
     requests = {True: 0, False: 0}
     read, now, left = 0, 0.0, []
@@ -97,7 +97,7 @@
             end[1].in_flight -= 1
             end[1].unread -= end[2]
             if end[3] is not None:
-                memory.read(end[0], end[3], CACHE_TOKENS)
+                memory.record_prefill(end[0], end[3], CACHE_TOKENS)
         for number, (start, back) in OUTAGES.items():
             target = targets[number]
             was_unavailable, target.is_loading = target.is_loading, start <= now < back
@@ -113,7 +113,7 @@
             shared_tokens=PREFIX_TOKENS if is_long else 55,
             prompt_tokens=PREFIX_TOKENS + REST_TOKENS if is_long else 380,
             holding=lambda t, p=part, at=now: memory.holding(
-                at, t.target_id, prompt_mark("v1", p)
+                at, t.target_id, hash_prefix("v1", p)
             ),
         )
         choice, retry_s = policy(targets, placing, now - arrived_at)
@@ -132,12 +132,12 @@
         target.unread += unread
         ready = None
         if is_long:
-            mark = prompt_mark("v1", part)
+            prefix_hash = hash_prefix("v1", part)
             first = PromptNote(
-                mark, PREFIX_TOKENS, target.target_id, REST_TOKENS, False
+                prefix_hash, PREFIX_TOKENS, target.target_id, REST_TOKENS, False
             )
-            memory.read(now, first, CACHE_TOKENS)
-            ready = PromptNote(mark, PREFIX_TOKENS, target.target_id)
+            memory.record_prefill(now, first, CACHE_TOKENS)
+            ready = PromptNote(prefix_hash, PREFIX_TOKENS, target.target_id)
         ends.append((done, target, unread, ready))
         in_time[is_long] += done - arrived_at <= TARGET_S
         left.append(done - now > LEAVE_S)
--- a/tests/test_entry/test_nested_load.py
+++ b/tests/test_entry/test_nested_load.py
@@ -15,7 +15,7 @@
 
 from berylnotch.entry.choice import choose
 from berylnotch.group.messages import PromptNote
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
 from tests.test_entry.support import long_request, make_target, short_request
 
 #: Prompt tokens that an engine reads per ms, and tokens of its cache.
@@ -66,7 +66,7 @@
         e.target.target_id: e for e in (Engine(make_target(f"e{n}")) for n in range(5))
     }
     targets = [e.target for e in engines.values()]
-    memory, in_flight_ends = PromptMemory(), []
+    memory, in_flight_ends = CacheModel(), []
     now, in_time, long_requests, read_again, read_subjects = 0.0, 0, 0, 0, set()
     while now < SECONDS:
         now += rng.expovariate(LONG_PER_S + SHORT_PER_S)
@@ -76,7 +76,7 @@
             target.in_flight -= 1
             target.unread -= unread
             for note in notes:
-                memory.read(at, note, CACHE_TOKENS)
+                memory.record_prefill(at, note, CACHE_TOKENS)
         is_long = rng.random() < LONG_PER_S / (LONG_PER_S + SHORT_PER_S)
         subject = f"s{rng.randrange(SUBJECTS)}"
         shared = [("common", COMMON), (subject, SUBJECT)] if is_long else [("x", 500)]
@@ -87,12 +87,14 @@
             now=now, parts=known, prompt_tokens=tokens
         )
         chain = placing.chain
-        marks = chain.marks("v1")
+        prefix_hashes = chain.prefix_hashes("v1")
         placing = (long_request if is_long else short_request)(
             now=now,
             parts=known,
             prompt_tokens=tokens,
-            run=lambda t, at=now, m=marks: memory.run(at, t.target_id, m),
+            run=lambda t, at=now, m=prefix_hashes: memory.cached_levels(
+                at, t.target_id, m
+            ),
         )
         choice = choose(targets, placing)
         target = choice.target
@@ -106,12 +108,14 @@
         target.in_flight += 1
         target.unread += choice.unread
         notes = []
-        for level, mark in zip(chain.levels, marks, strict=True):
+        for level, prefix_hash in zip(chain.levels, prefix_hashes, strict=True):
             name = target.target_id
-            memory.read(
-                now, PromptNote(mark, level.tokens, name, own, False), CACHE_TOKENS
+            memory.record_prefill(
+                now,
+                PromptNote(prefix_hash, level.tokens, name, own, False),
+                CACHE_TOKENS,
             )
-            notes.append(PromptNote(mark, level.tokens, name))
+            notes.append(PromptNote(prefix_hash, level.tokens, name))
         in_flight_ends.append((done, target, choice.unread, notes))
         if is_long:
             long_requests += 1
--- a/tests/test_entry/test_short_prompt_load.py
+++ b/tests/test_entry/test_short_prompt_load.py
@@ -14,7 +14,7 @@
 
 from berylnotch.entry.choice import choose
 from berylnotch.entry.pricing import priced, worth_ms
-from berylnotch.placement.mixing import mix
+from berylnotch.placement.mixing import rendezvous_weight
 from berylnotch.placement.ring import Ring
 from tests.test_entry.support import make_target, short_request
 
@@ -50,7 +50,7 @@
 def random_baseline(targets, placing):
     """Return the baseline's choice: affinity to one of few engines, and no copies."""
     drawn = [targets[placing.draw(len(targets))] for _ in range(placing.sample)]
-    home = min(drawn, key=lambda t: mix(t.target_id, placing.chain.path))
+    home = min(drawn, key=lambda t: rendezvous_weight(t.target_id, placing.chain.path))
     gain_ms = 2 * placing.costs.read_ms(placing.chain.shared_tokens, 0)
 
     def cost_ms(choice):
--- a/tests/test_placement/test_chains.py
+++ b/tests/test_placement/test_chains.py
@@ -7,13 +7,15 @@
     MAX_PARTS,
     MIN_HOME_TOKENS,
     PromptPart,
-    make_chain,
+    make_prefix_chain,
 )
 
 
 def chain_of(*tokens, prompt_tokens=None):
     parts = [PromptPart(f"p{n}", count) for n, count in enumerate(tokens)]
-    return make_chain(parts, sum(tokens) if prompt_tokens is None else prompt_tokens)
+    return make_prefix_chain(
+        parts, sum(tokens) if prompt_tokens is None else prompt_tokens
+    )
 
 
 def test_levels_begin_at_the_least_shared_tokens():
@@ -25,21 +27,21 @@
 
 
 def test_a_short_shared_part_gives_no_affinity():
-    assert not chain_of(MIN_HOME_TOKENS - 1, 9000).has_home
-    assert chain_of(MIN_HOME_TOKENS, 9000).has_home
-    assert not chain_of(9000).has_home
+    assert not chain_of(MIN_HOME_TOKENS - 1, 9000).has_affinity
+    assert chain_of(MIN_HOME_TOKENS, 9000).has_affinity
+    assert not chain_of(9000).has_affinity
 
 
 def test_hashes_differ_where_prompts_with_the_same_first_part_differ():
-    first = make_chain(
+    first = make_prefix_chain(
         [PromptPart("a", 2000), PromptPart("b", 2000), PromptPart("x", 1)], 0
     )
-    second = make_chain(
+    second = make_prefix_chain(
         [PromptPart("a", 2000), PromptPart("c", 2000), PromptPart("x", 1)], 0
     )
-    assert first.marks("v1")[0] == second.marks("v1")[0]
-    assert first.marks("v1")[1] != second.marks("v1")[1]
-    assert set(first.marks("v1")).isdisjoint(first.marks("v2"))
+    assert first.prefix_hashes("v1")[0] == second.prefix_hashes("v1")[0]
+    assert first.prefix_hashes("v1")[1] != second.prefix_hashes("v1")[1]
+    assert set(first.prefix_hashes("v1")).isdisjoint(first.prefix_hashes("v2"))
 
 
 @pytest.mark.parametrize(
@@ -48,11 +50,11 @@
         chain_of(*[100] * (MAX_PARTS + 1)),
         chain_of(10**9, 10),
         chain_of(2000, 500, prompt_tokens=9000),
-        make_chain([PromptPart("a", 2000)] * 3, 6000),
+        make_prefix_chain([PromptPart("a", 2000)] * 3, 6000),
     ],
 )
 def test_invalid_parts_give_a_reason_and_no_affinity(made):
-    assert made.problem and not made.has_home and made.path == ""
+    assert made.problem and not made.has_affinity and made.path == ""
 
 
 def test_only_the_deepest_levels_are_kept():
@@ -62,11 +64,11 @@
 
 
 def test_prompts_of_one_branch_have_the_same_store_key():
-    first = make_chain(
+    first = make_prefix_chain(
         [PromptPart("a", 2000), PromptPart("b", 2000), PromptPart("x", 1)], 4001
     )
-    second = make_chain(
+    second = make_prefix_chain(
         [PromptPart("a", 2000), PromptPart("c", 2000), PromptPart("x", 1)], 4001
     )
     assert first.store_key == second.store_key != ""
-    assert make_chain([PromptPart("x", 9)], 9).store_key == ""
+    assert make_prefix_chain([PromptPart("x", 9)], 9).store_key == ""
--- a/tests/test_platform/test_requests.py
+++ b/tests/test_platform/test_requests.py
@@ -45,7 +45,7 @@
         )
     )
     assert caller.key == "" and caller.deadline_s is None and caller.tokens == 0
-    assert caller.chain.path == "" and not caller.chain.has_home
+    assert caller.chain.path == "" and not caller.chain.has_affinity
     assert caller.resume_after is None
 
 
