--- a/benchmarks/fleet_choice.py
+++ b/benchmarks/fleet_choice.py
@@ -15,7 +15,7 @@
 
 from berylnotch.entry.candidates import MAX_HOLDERS
 from berylnotch.entry.choice import choose
-from berylnotch.entry.model import Placing
+from berylnotch.entry.model import ChoiceInputs
 from berylnotch.entry.targets import Target
 from berylnotch.group.messages import PromptNote
 from berylnotch.membership.ejection import Ejection
@@ -56,7 +56,7 @@
     for number in range(args.decisions):
         chain = _chain(rng.randrange(args.subjects), args.parts)
         prefix_hashes = chain.prefix_hashes("v1")
-        placing = Placing(
+        inputs = ChoiceInputs(
             now=float(number) / 1000,
             model="m",
             target_latency_s=1.0,
@@ -64,14 +64,16 @@
             prompt_tokens=args.parts * PART_TOKENS,
             sample=args.sample,
             draw=rng.randrange,
-            run=lambda t, m=prefix_hashes: memory.cached_levels(0.0, t.target_id, m),
+            cached_levels=lambda t, m=prefix_hashes: memory.cached_levels(
+                0.0, t.target_id, m
+            ),
             holders=lambda m=prefix_hashes: [
                 by_id[name] for name in memory.holders(m, MAX_HOLDERS, rng.randrange)
             ],
-            walk=ring.walk,
+            ring_walk=ring.walk,
         )
         begun = time.perf_counter()
-        choice = choose(engines, placing)
+        choice = choose(engines, inputs)
         times.record_value(max(1, int(1e6 * (time.perf_counter() - begun))))
         for level, prefix_hash in zip(chain.levels, prefix_hashes, strict=True):
             note = PromptNote(prefix_hash, level.tokens, choice.target.target_id)
--- a/berylnotch/daemon/fleet/notes.py
+++ b/berylnotch/daemon/fleet/notes.py
@@ -88,7 +88,7 @@
     ) -> float:
         """Return the share of the burst that this note must leave to other notes."""
         if capacity is None:
-            is_known = self._known_by_routers.is_saved(now, note.holder, note.prompt)
+            is_known = self._known_by_routers.is_stored(now, note.holder, note.prompt)
             return NEW_NOTES_RESERVE if is_known else READY_NOTES_RESERVE
         holding = self._known_by_routers.holding(now, note.holder, note.prompt)
         if note.is_ready:
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -15,11 +15,11 @@
     apply_prompt_notes,
     apply_targets,
 )
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.context import EntryContext
 from berylnotch.entry.early import EarlyRequests
 from berylnotch.entry.exchange import Exchange
 from berylnotch.entry.quota_gate import QuotaGate
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.settings import EntrySettings
 from berylnotch.entry.targets import TargetTable
 from berylnotch.group.columns import NumberedTargets
@@ -286,10 +286,8 @@
                 id=caller.request_id,
                 reason=caller.chain.problem,
             )
-        admitted = Admitted(request, caller, route, organisation)
-        exchange = Exchange(
-            self._context, connection, admitted, self._exchanges.discard
-        )
+        routed = RoutedRequest(request, caller, route, organisation)
+        exchange = Exchange(self._context, connection, routed, self._exchanges.discard)
         self._exchanges.add(exchange)
         exchange.start()
 
--- a/berylnotch/entry/admission.py
+++ b/berylnotch/entry/admission.py
@@ -38,7 +38,7 @@
     retry_after_s: float = 0.0
 
 
-def judge(
+def decide_admission(
     choice: Choice, target_latency_s: float, remaining_s: float
 ) -> AdmissionDecision:
     """Decide whether a stream is sent to its best target or refused.
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -26,9 +26,9 @@
 from berylnotch.util.metrics import Label
 
 if TYPE_CHECKING:
-    from berylnotch.entry.admitted import Admitted
     from berylnotch.entry.context import EntryContext
     from berylnotch.entry.model import Choice
+    from berylnotch.entry.routed_request import RoutedRequest
 
 #: Maximum size, in bytes, of a response that is not a stream.
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
@@ -59,7 +59,7 @@
         Shared state of the router.
     choice : Choice
         Target that the request is sent to.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     target_headers : TargetHeaders
         Values of the headers that are added for the target.
@@ -71,16 +71,16 @@
         self,
         context: EntryContext,
         choice: Choice,
-        admitted: Admitted,
+        routed: RoutedRequest,
         target_headers: TargetHeaders,
         owner: AttemptOwner,
     ) -> None:
         self._context = context
         self._target = choice.target
-        self._reading = PromptReading(context, choice, admitted, target_headers)
-        self._is_long = admitted.caller.chain.has_affinity
+        self._reading = PromptReading(context, choice, routed, target_headers)
+        self._is_long = routed.caller.chain.has_affinity
         self._expected_s = choice.delay_ms / 1000
-        self._admitted = admitted
+        self._routed = routed
         self._target_headers = target_headers
         self._owner = owner
         self._connection: ClientConnection | None = None
@@ -107,8 +107,8 @@
 
     def start(self) -> None:
         """Send the request."""
-        target, route = self._target, self._admitted.route
-        request = encode_for_target(self._admitted.request, self._target_headers)
+        target, route = self._target, self._routed.route
+        request = encode_for_target(self._routed.request, self._target_headers)
         self._connection = self._context.targets.connect(target, route.is_repeatable)
         target.in_flight += 1
         target.long_in_flight += self._is_long
@@ -151,16 +151,16 @@
 
     def _check_overdue(self) -> None:
         """End the attempt of a repeatable request if its response is overdue."""
-        if self._has_ended or not self._admitted.route.is_repeatable:
+        if self._has_ended or not self._routed.route.is_repeatable:
             return
         if self._migration is not None:
             self._context.loop.call_later(MIGRATION_RETRY_S, self._check_overdue)
             return
-        route, now = self._admitted.route, boot_time()
+        route, now = self._routed.route, boot_time()
         waiting = Waiting(
             self._sent_at,
             self._expected_s,
-            self._admitted.is_stream,
+            self._routed.is_stream,
             self._head is not None,
             self._last_event_at if self._is_stream else 0.0,
             self._target.heard_at,
@@ -182,9 +182,9 @@
         """Accept the response head; skip the head of a response to another request."""
         answer = decode_answer(head.status, head.headers)
         take_signals(
-            self._context, self._target, answer, self._admitted.caller.request_id
+            self._context, self._target, answer, self._routed.caller.request_id
         )
-        own_id = self._admitted.caller.request_id
+        own_id = self._routed.caller.request_id
         if not answer.request_id and head.status >= 300 and self._connection.is_reused:
             # It may be a late response to the previous request on this connection.
             self._abort("error response without a request id on a reused connection")
@@ -302,7 +302,7 @@
             self._context.prompts.forget_engine(target.target_id)
         self._context.log.warning(
             "attempt_failed",
-            id=self._admitted.caller.request_id,
+            id=self._routed.caller.request_id,
             target=target.target_id,
             failure=failure.value,
             reason=reason,
@@ -330,7 +330,7 @@
             self._asked_destinations.clear()
             return
         self._asked_destinations.add(destination.target_id)
-        request_id = self._admitted.caller.request_id
+        request_id = self._routed.caller.request_id
         self._migration = RunMove(
             self._context, request_id, self._target, destination, self._on_migration_end
         )
@@ -358,7 +358,7 @@
         target.back_off(boot_time(), pause_s)
         self._context.log.warning(
             "target_refused",
-            id=self._admitted.caller.request_id,
+            id=self._routed.caller.request_id,
             target=target.target_id,
             status=status,
             load=target.load,
--- a/berylnotch/entry/candidates.py
+++ b/berylnotch/entry/candidates.py
@@ -13,7 +13,7 @@
 from collections.abc import Collection, Iterable
 from itertools import islice
 
-from berylnotch.entry.model import Placing
+from berylnotch.entry.model import ChoiceInputs
 from berylnotch.entry.targets import Target
 from berylnotch.placement.mixing import rendezvous_weight
 
@@ -34,7 +34,7 @@
 
 
 def long_prompt_candidates(
-    targets: Collection[Target], placing: Placing
+    targets: Collection[Target], inputs: ChoiceInputs
 ) -> tuple[Target | None, list[Target]]:
     """Return the home of a long prompt and the targets to compare for it.
 
@@ -49,44 +49,46 @@
     candidates : list of Target
         Targets to compare.
     """
-    path = placing.chain.path
-    if not placing.sample or placing.walk is None:
-        usable = usable_targets(targets, placing)
-        if placing.sample:
+    path = inputs.chain.path
+    if not inputs.sample or inputs.ring_walk is None:
+        usable = usable_targets(targets, inputs)
+        if inputs.sample:
             usable.sort(key=lambda t: rendezvous_weight(t.target_id, path))
             holders = [
-                t for t in usable[placing.sample :] if placing.run(t).ready_or_pending
+                t
+                for t in usable[inputs.sample :]
+                if inputs.cached_levels(t).ready_or_pending
             ]
-            usable = usable[: placing.sample] + holders
+            usable = usable[: inputs.sample] + holders
         home = min(
             usable, key=lambda t: rendezvous_weight(t.target_id, path), default=None
         )
         return home, usable
-    eligible = (t for t in placing.walk(path) if is_eligible(t, placing))
-    nearest = list(islice(eligible, placing.sample))
+    eligible = (t for t in inputs.ring_walk(path) if is_eligible(t, inputs))
+    nearest = list(islice(eligible, inputs.sample))
     home = nearest[0] if nearest else None
     included_ids = {t.target_id for t in nearest}
     holders = [
         t
-        for t in placing.holders()
-        if t.target_id not in included_ids and is_eligible(t, placing)
+        for t in inputs.holders()
+        if t.target_id not in included_ids and is_eligible(t, inputs)
     ]
     included_ids.update(t.target_id for t in holders)
     sampled = [
-        t for t in sampled_targets(targets, placing) if t.target_id not in included_ids
+        t for t in sampled_targets(targets, inputs) if t.target_id not in included_ids
     ]
     return home, nearest + holders + sampled
 
 
 def homes_by_version(
-    targets: Collection[Target], placing: Placing
+    targets: Collection[Target], inputs: ChoiceInputs
 ) -> dict[int | None, Target]:
     """Return the home of a prompt among the eligible engines by weights version."""
     homes: dict[int | None, Target] = {}
-    versions = {t.version(placing.model) for t in placing.weights_samples()}
-    for target in _ring_order(targets, placing):
-        version = target.version(placing.model)
-        if version not in homes and is_eligible(target, placing):
+    versions = {t.version(inputs.model) for t in inputs.weights_samples()}
+    for target in _ring_order(targets, inputs):
+        version = target.version(inputs.model)
+        if version not in homes and is_eligible(target, inputs):
             homes[version] = target
             if len(homes) >= len(versions):
                 break
@@ -94,7 +96,7 @@
 
 
 def ring_copy_source(
-    targets: Collection[Target], placing: Placing, receiver: Target
+    targets: Collection[Target], inputs: ChoiceInputs, receiver: Target
 ) -> Target | None:
     """Return the engine from which a receiver copies a prompt, None if there is none.
 
@@ -103,78 +105,78 @@
     there was one. An engine that has just loaded its weights holds few prompts, so it
     is returned only if there is no other.
     """
-    version = receiver.version(placing.model)
+    version = receiver.version(inputs.model)
     recently_loaded = None
-    for target in _ring_order(targets, placing):
-        if target is receiver or target.version(placing.model) != version:
+    for target in _ring_order(targets, inputs):
+        if target is receiver or target.version(inputs.model) != version:
             continue
-        is_unavailable = target.is_suspect or target.ejection.blocks(placing.now)
+        is_unavailable = target.is_suspect or target.ejection.blocks(inputs.now)
         if is_unavailable or target.is_loading or target.is_leaving:
             continue
-        if placing.now - target.weights_at > RECENT_LOAD_S:
+        if inputs.now - target.weights_at > RECENT_LOAD_S:
             return target
         recently_loaded = recently_loaded or target
     return recently_loaded
 
 
-def _ring_order(targets: Collection[Target], placing: Placing) -> Iterable[Target]:
+def _ring_order(targets: Collection[Target], inputs: ChoiceInputs) -> Iterable[Target]:
     """Return the targets in the prompt's hash order, which all routers share."""
-    path = placing.chain.path
-    if placing.walk is not None:
-        return islice(placing.walk(path), MAX_RING_STEPS)
+    path = inputs.chain.path
+    if inputs.ring_walk is not None:
+        return islice(inputs.ring_walk(path), MAX_RING_STEPS)
     return sorted(targets, key=lambda t: rendezvous_weight(t.target_id, path))
 
 
-def usable_targets(targets: Collection[Target], placing: Placing) -> list[Target]:
+def usable_targets(targets: Collection[Target], inputs: ChoiceInputs) -> list[Target]:
     """Return the targets that can serve a request; fallbacks only without others."""
-    usable = [t for t in targets if _can_serve(t, placing)]
-    return [t for t in usable if not _is_fallback(t, placing)] or usable
+    usable = [t for t in targets if _can_serve(t, inputs)]
+    return [t for t in usable if not _is_fallback(t, inputs)] or usable
 
 
-def is_eligible(target: Target, placing: Placing) -> bool:
+def is_eligible(target: Target, inputs: ChoiceInputs) -> bool:
     """Tell whether a target can serve the request and is not only a fallback."""
-    return _can_serve(target, placing) and not _is_fallback(target, placing)
+    return _can_serve(target, inputs) and not _is_fallback(target, inputs)
 
 
-def _is_fallback(target: Target, placing: Placing) -> bool:
+def _is_fallback(target: Target, inputs: ChoiceInputs) -> bool:
     """Tell whether a target gets the request only if no other target can serve it.
 
     A fallback is a target that several routers have ejected after failures and that
     this router does not probe, or, for long prompts, an engine that is being emptied.
     """
-    if target.is_emptying and placing.chain.has_affinity:
+    if target.is_emptying and inputs.chain.has_affinity:
         return True
-    return target.is_avoided(placing.now)
+    return target.is_avoided(inputs.now)
 
 
-def sampled_targets(targets: Collection[Target], placing: Placing) -> list[Target]:
+def sampled_targets(targets: Collection[Target], inputs: ChoiceInputs) -> list[Target]:
     """Return the usable targets, or a random sample of them if a sample is requested.
 
     Most targets are usable, so a few draws usually complete the sample without a scan
     of all targets.
     """
-    if not placing.sample or len(targets) <= placing.sample:
-        return usable_targets(targets, placing)
+    if not inputs.sample or len(targets) <= inputs.sample:
+        return usable_targets(targets, inputs)
     targets = list(targets)
     sampled: dict[int, Target] = {}
-    for _ in range(DRAWS_PER_SAMPLED_TARGET * placing.sample):
-        index = placing.draw(len(targets))
+    for _ in range(DRAWS_PER_SAMPLED_TARGET * inputs.sample):
+        index = inputs.draw(len(targets))
         target = targets[index]
-        if is_eligible(target, placing):
+        if is_eligible(target, inputs):
             sampled[index] = target
-            if len(sampled) == placing.sample:
+            if len(sampled) == inputs.sample:
                 return list(sampled.values())
-    remaining = usable_targets(targets, placing)
-    count = min(placing.sample, len(remaining))
-    return [remaining.pop(placing.draw(len(remaining))) for _ in range(count)]
+    remaining = usable_targets(targets, inputs)
+    count = min(inputs.sample, len(remaining))
+    return [remaining.pop(inputs.draw(len(remaining))) for _ in range(count)]
 
 
-def _can_serve(target: Target, placing: Placing) -> bool:
-    if target.target_id in placing.excluded or not target.is_usable(placing.now):
+def _can_serve(target: Target, inputs: ChoiceInputs) -> bool:
+    if target.target_id in inputs.excluded or not target.is_usable(inputs.now):
         return False
-    if not placing.model:
+    if not inputs.model:
         return True
-    version = target.version(placing.model)
+    version = target.version(inputs.model)
     if version is None:
         return False
-    return placing.outdated_s(version) < placing.stale_s
+    return inputs.outdated_s(version) < inputs.stale_s
--- a/berylnotch/entry/choice.py
+++ b/berylnotch/entry/choice.py
@@ -21,7 +21,7 @@
     ring_copy_source,
     sampled_targets,
 )
-from berylnotch.entry.model import Choice, Placing
+from berylnotch.entry.model import Choice, ChoiceInputs
 from berylnotch.entry.pricing import Holders, begins_in_time, price, priced, worth_ms
 from berylnotch.entry.targets import Target
 from berylnotch.placement.mixing import rendezvous_weight
@@ -47,31 +47,35 @@
 OFF_HOME_COST_MS_PER_1K = 120.0
 
 
-def choose(targets: Collection[Target], placing: Placing) -> Choice | None:
+def choose(targets: Collection[Target], inputs: ChoiceInputs) -> Choice | None:
     """Return the target with the lowest expected cost, None if no target is usable.
 
     A long prompt that no engine holds goes to its home, so that it is processed once.
     Later requests go to the engine that holds the longest prefix of the prompt. As the
     prompt queue of that engine grows, they go to other engines, which copy the prefix.
     """
-    if not placing.chain.has_affinity:
-        return _choose_for_short_prompt(targets, placing)
-    home, usable = long_prompt_candidates(targets, placing)
-    holders = Holders(usable, placing)
-    choices = [price(t, placing, holders) for t in usable]
-    choices = [c for c in choices if begins_in_time(c, placing)]
+    if not inputs.chain.has_affinity:
+        return _choose_for_short_prompt(targets, inputs)
+    home, usable = long_prompt_candidates(targets, inputs)
+    holders = Holders(usable, inputs)
+    choices = [price(t, inputs, holders) for t in usable]
+    choices = [c for c in choices if begins_in_time(c, inputs)]
 
     def cost_ms(choice: Choice) -> float:
-        cost = worth_ms(choice, placing) + COPY_COST_MS_PER_1K * choice.copied / 1000
-        cost += REPROCESSING_COST_MS_PER_1K * choice.read_again / 1000
-        has_home_bonus = choice.target is home and choice.unread > holders.own_tokens
+        cost = (
+            worth_ms(choice, inputs) + COPY_COST_MS_PER_1K * choice.copied_tokens / 1000
+        )
+        cost += REPROCESSING_COST_MS_PER_1K * choice.reprocessed_tokens / 1000
+        has_home_bonus = (
+            choice.target is home and choice.uncached_tokens > holders.own_tokens
+        )
         return cost - HOME_BONUS_MS if has_home_bonus else cost
 
     return min(choices, key=lambda c: (cost_ms(c), c.target is not home), default=None)
 
 
 def _choose_for_short_prompt(
-    targets: Collection[Target], placing: Placing
+    targets: Collection[Target], inputs: ChoiceInputs
 ) -> Choice | None:
     """Return the best target for a request without a long shared prefix, or None.
 
@@ -80,22 +84,28 @@
     it holds them or not: a failed attempt costs less than processing the parts, and
     routers need not exchange notes about short prompts.
     """
-    usable = sampled_targets(targets, placing)
+    usable = sampled_targets(targets, inputs)
     homes: dict[int | None, Target] = {}
-    if placing.model and placing.chain.shared_tokens >= MIN_AFFINITY_TOKENS:
-        homes = homes_by_version(targets, placing)
+    if inputs.model and inputs.chain.shared_tokens >= MIN_AFFINITY_TOKENS:
+        homes = homes_by_version(targets, inputs)
         included_ids = {target.target_id for target in usable}
         usable += [t for t in homes.values() if t.target_id not in included_ids]
-    unread, costs = placing.prompt_tokens, placing.costs
+    uncached_tokens, costs = inputs.prompt_tokens, inputs.costs
     choices = [
-        priced(t, placing, costs.read_ms(unread, t.load), unread=unread) for t in usable
+        priced(
+            t,
+            inputs,
+            costs.read_ms(uncached_tokens, t.load),
+            uncached_tokens=uncached_tokens,
+        )
+        for t in usable
     ]
-    choices = [c for c in choices if begins_in_time(c, placing)]
-    off_home_ms = OFF_HOME_COST_MS_PER_1K * placing.chain.shared_tokens / 1000
+    choices = [c for c in choices if begins_in_time(c, inputs)]
+    off_home_ms = OFF_HOME_COST_MS_PER_1K * inputs.chain.shared_tokens / 1000
 
     def cost_ms(choice: Choice) -> float:
-        home = homes.get(choice.target.version(placing.model), choice.target)
-        return worth_ms(choice, placing) + (
+        home = homes.get(choice.target.version(inputs.model), choice.target)
+        return worth_ms(choice, inputs) + (
             off_home_ms if home is not choice.target else 0
         )
 
@@ -106,16 +116,16 @@
     )
     if best is None or not homes:
         return best
-    return evolve(best, source=ring_copy_source(targets, placing, best.target))
+    return evolve(best, source=ring_copy_source(targets, inputs, best.target))
 
 
-def usable_in_s(targets: Iterable[Target], placing: Placing) -> float | None:
+def usable_in_s(targets: Iterable[Target], inputs: ChoiceInputs) -> float | None:
     """Return the seconds until a target may be usable, None if there is no target."""
     times = [
-        target.usable_at(placing.now)
+        target.usable_at(inputs.now)
         for target in targets
-        if not target.is_leaving and target.target_id not in placing.excluded
+        if not target.is_leaving and target.target_id not in inputs.excluded
     ]
     if not times:
         return None
-    return max(0.0, min(times) - placing.now)
+    return max(0.0, min(times) - inputs.now)
--- a/berylnotch/entry/placing.py
+++ b/berylnotch/entry/choice_inputs.py
@@ -5,10 +5,10 @@
 import random
 from collections.abc import Collection
 
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.candidates import MAX_HOLDERS
 from berylnotch.entry.context import EntryContext
-from berylnotch.entry.model import Choice, Placing
+from berylnotch.entry.model import Choice, ChoiceInputs
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.targets import Target
 from berylnotch.placement.cache_model import CachedLevels
 from berylnotch.placement.chains import EMPTY_CHAIN
@@ -18,26 +18,26 @@
 from berylnotch.util.clock import boot_time
 
 
-def make_placing(
+def make_choice_inputs(
     context: EntryContext,
-    admitted: Admitted,
+    routed: RoutedRequest,
     service: Service,
     excluded: Collection[str],
-) -> Placing:
+) -> ChoiceInputs:
     """Return the inputs to the choice of a target.
 
     Parameters
     ----------
     context : EntryContext
         Shared state of the router.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     service : Service
         Service that the request is sent to.
     excluded : collection of str
         Identities of targets that must not be chosen.
     """
-    caller, weights_names, settings = admitted.caller, context.names, context.settings
+    caller, weights_names, settings = routed.caller, context.names, context.settings
     now = boot_time()
     model = caller.model if service.engine is not None else ""
     chain, prompts, targets = caller.chain, context.prompts, context.targets
@@ -46,9 +46,9 @@
     )
 
     def level_hashes(target: Target) -> tuple[int, ...]:
-        return chain.prefix_hashes(cache_salt(admitted, target, model))
+        return chain.prefix_hashes(cache_salt(routed, target, model))
 
-    def cached_run(target: Target) -> CachedLevels:
+    def cached_levels(target: Target) -> CachedLevels:
         return prompts.cached_levels(now, target.target_id, level_hashes(target))
 
     def find_holders() -> list[Target]:
@@ -61,42 +61,42 @@
         }
         return [t for t in map(targets.get, target_ids) if t is not None]
 
-    def saved_levels(target: Target) -> int:
-        return prompts.saved_levels(now, store, level_hashes(target))
+    def stored_levels(target: Target) -> int:
+        return prompts.stored_levels(now, store, level_hashes(target))
 
     has_many_routers = context.router_count > settings.max_routers_unsampled
-    return Placing(
+    return ChoiceInputs(
         now=now,
         model=model,
         wanted_version=weights_names.newest(model),
         outdated_s=lambda version: weights_names.outdated_s(now, model, version),
         fresh_s=settings.fresh_weights_s,
         stale_s=context.fleet.bounds.weights_s - settings.weights_margin_s,
-        target_latency_s=admitted.route.target_latency_s,
+        target_latency_s=routed.route.target_latency_s,
         chain=chain if model else EMPTY_CHAIN,
         prompt_tokens=caller.prompt_tokens if model else 0,
-        wait_part=context.meter(service.name).wait_part(
-            admitted.priority, admitted.is_urgent
+        queue_share=context.meter(service.name).queue_share(
+            routed.priority, routed.is_urgent
         ),
-        overshoot_ms=context.meter(service.name).overshoot_ms,
+        max_overshoot_ms=context.meter(service.name).max_overshoot_ms,
         sample=settings.sample_size if has_many_routers else 0,
         draw=random.randrange,
-        run=cached_run,
+        cached_levels=cached_levels,
         holders=find_holders,
-        saved=saved_levels,
+        stored_levels=stored_levels,
         weights_samples=lambda: targets.weights_samples(service.name),
-        walk=lambda key: targets.ring(service.name).walk(key),
+        ring_walk=lambda key: targets.ring(service.name).walk(key),
         costs=context.costs(service),
         failure_domain=context.fleet.failure_domain,
         excluded=excluded,
     )
 
 
-def make_told(
+def make_target_headers(
     context: EntryContext,
-    admitted: Admitted,
+    routed: RoutedRequest,
     service: Service,
-    placing: Placing,
+    inputs: ChoiceInputs,
     choice: Choice,
     remaining_s: float,
     last_event: int | None,
@@ -108,11 +108,11 @@
     ----------
     context : EntryContext
         Shared state of the router.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     service : Service
         Service that the request is sent to.
-    placing : Placing
+    inputs : ChoiceInputs
         Inputs to the choice.
     choice : Choice
         The chosen target.
@@ -126,11 +126,11 @@
     """
     target = choice.target
     fetch_from = save_to = ""
-    if placing.chain.has_affinity and not run_origin:
+    if inputs.chain.has_affinity and not run_origin:
         # Asking a store that lacks the prompt costs about 1 ms.
-        store = select_store(context, service, placing.chain.store_key)
+        store = select_store(context, service, inputs.chain.store_key)
         fetch_from = choice.source.listed.address if choice.source else store
-        if store and placing.saved(target) < len(placing.chain.levels):
+        if store and inputs.stored_levels(target) < len(inputs.chain.levels):
             save_to = store
     elif choice.source is not None and not run_origin:
         # Asking an engine that lacks the prompt costs about 1 ms too.
@@ -139,13 +139,13 @@
     return TargetHeaders(
         deadline_s=remaining_s,
         target_id=target.target_id,
-        organisation=admitted.organisation_name,
-        priority=admitted.priority if placing.model else None,
-        weights_version=target.version(placing.model) if placing.model else None,
-        cache_salt=cache_salt(admitted, target, placing.model) if placing.model else "",
+        organisation=routed.organisation_name,
+        priority=routed.priority if inputs.model else None,
+        weights_version=target.version(inputs.model) if inputs.model else None,
+        cache_salt=cache_salt(routed, target, inputs.model) if inputs.model else "",
         fetch_from=fetch_from,
         save_to=save_to,
-        resume_after=admitted.caller.resume_after if is_first else last_event,
+        resume_after=routed.caller.resume_after if is_first else last_event,
         run_origin=run_origin,
     )
 
@@ -165,14 +165,14 @@
     )
 
 
-def cache_salt(admitted: Admitted, target: Target, model: str) -> str:
+def cache_salt(routed: RoutedRequest, target: Target, model: str) -> str:
     """Return the salt that separates cache entries that must not be shared.
 
     Entries of different weights versions are always separate, and so are those of
     isolated organisations.
     """
     salt = f"v{target.version(model)}"
-    organisation = admitted.organisation
+    organisation = routed.organisation
     if organisation is not None and organisation.is_isolated:
         salt += f"/{organisation.name}"
     return salt
--- a/berylnotch/entry/crash_trail.py
+++ b/berylnotch/entry/crash_trail.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.context import EntryContext
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.membership.crashes import light_fingerprint
 from berylnotch.util.clock import boot_time
 
@@ -17,15 +17,15 @@
     ----------
     context : EntryContext
         Shared state of the router.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     """
 
-    def __init__(self, context: EntryContext, admitted: Admitted) -> None:
+    def __init__(self, context: EntryContext, routed: RoutedRequest) -> None:
         self._context = context
-        request = admitted.request
+        request = routed.request
         self._fingerprint = light_fingerprint(
-            admitted.organisation_name, request.target.encode() + b"\0" + request.body
+            routed.organisation_name, request.target.encode() + b"\0" + request.body
         )
         self._target_id = ""
 
--- a/berylnotch/entry/exchange.py
+++ b/berylnotch/entry/exchange.py
@@ -7,15 +7,14 @@
 
 import attrs
 
-from berylnotch.entry.admission import judge
-from berylnotch.entry.admitted import Admitted
+from berylnotch.entry.admission import decide_admission
 from berylnotch.entry.attempt import Attempt
 from berylnotch.entry.choice import choose, usable_in_s
+from berylnotch.entry.choice_inputs import make_choice_inputs, make_target_headers
 from berylnotch.entry.context import EntryContext
 from berylnotch.entry.crash_trail import CrashTracker
-from berylnotch.entry.model import Choice, Placing
+from berylnotch.entry.model import Choice, ChoiceInputs
 from berylnotch.entry.moving import MovedRun
-from berylnotch.entry.placing import make_placing, make_told
 from berylnotch.entry.quota_gate import Charge
 from berylnotch.entry.records import (
     Progress,
@@ -28,6 +27,7 @@
 from berylnotch.entry.relocation import MIN_REST_S, Relocation
 from berylnotch.entry.reply import Reply
 from berylnotch.entry.results import AttemptEnd, AttemptResult
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.targets import Target
 from berylnotch.net.server import ServerConnection
 from berylnotch.platform.requests import refusal_headers
@@ -57,7 +57,7 @@
         Shared state of the router.
     connection : ServerConnection
         Connection of the caller.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     on_end : callable
         Called once when the request is answered or the caller has disconnected.
@@ -67,18 +67,18 @@
         self,
         context: EntryContext,
         connection: ServerConnection,
-        admitted: Admitted,
+        routed: RoutedRequest,
         on_end: Callable[[Exchange], None],
     ) -> None:
         self._context = context
-        self._admitted = admitted
+        self._routed = routed
         self._on_end = on_end
         self._progress = Progress()
         self._attempt: Attempt | None = None
         self._tried_targets: set[str] = set()
         self._service_name = ""
         self._has_ended = False
-        request, caller, route = admitted.request, admitted.caller, admitted.route
+        request, caller, route = routed.request, routed.caller, routed.route
         limit_s = route.timeout_s
         if caller.deadline_s is not None:
             limit_s = min(limit_s, caller.deadline_s)
@@ -88,14 +88,14 @@
         connection.on_drained = self._on_drained
         self._deadline = request.received_at + limit_s
         self._timer: Timer | None = None
-        self._crash_tracker = CrashTracker(context, admitted)
-        self._relocation = Relocation(context, admitted)
+        self._crash_tracker = CrashTracker(context, routed)
+        self._relocation = Relocation(context, routed)
 
     # Values for log lines and limits.
 
     @property
     def _request_id(self) -> str:
-        return self._admitted.caller.request_id
+        return self._routed.caller.request_id
 
     @property
     def _remaining_s(self) -> float:
@@ -107,13 +107,13 @@
         self._timer = self._context.loop.call_later(
             max(0.0, self._remaining_s) + grace_s, self._expire
         )
-        organisation = self._admitted.organisation
+        organisation = self._routed.organisation
         if not is_limited(organisation):
             self._on_charge(Charge.CHARGED, 0.0)
             return
         gate = self._context.gate
         if gate.charge(
-            boot_time(), organisation.name, self._admitted.cost, self._on_charge
+            boot_time(), organisation.name, self._routed.cost, self._on_charge
         ):
             self._context.ask_quota()
 
@@ -139,7 +139,7 @@
             self._admit()
 
     def _admit(self) -> None:
-        splits = self._admitted.route.splits
+        splits = self._routed.route.splits
         self._service_name = pick_service(splits, random.random())
         if self._crash_tracker.is_refused:
             self._fail(
@@ -163,35 +163,35 @@
         if service is None:
             self._give_up(Reason.NO_SERVICE, self._service_name)
             return
-        placing = make_placing(
-            self._context, self._admitted, service, self._tried_targets
+        inputs = make_choice_inputs(
+            self._context, self._routed, service, self._tried_targets
         )
-        choice = choose(self._context.targets.of(self._service_name), placing)
+        choice = choose(self._context.targets.of(self._service_name), inputs)
         if choice is None:
-            wait_s = usable_in_s(self._context.targets.of(self._service_name), placing)
+            wait_s = usable_in_s(self._context.targets.of(self._service_name), inputs)
             self._give_up(
                 Reason.NO_TARGET, "no target of the service is usable", wait_s
             )
             return
-        if not self._progress.runs and self._admitted.is_stream:
-            latency_s = self._admitted.route.target_latency_s
-            decision = judge(choice, latency_s, self._remaining_s)
+        if not self._progress.runs and self._routed.is_stream:
+            latency_s = self._routed.route.target_latency_s
+            decision = decide_admission(choice, latency_s, self._remaining_s)
             if not decision.is_admitted:
                 reason = f"first event expected after {choice.delay_ms:.0f} ms"
                 self._give_up(Reason.TOO_LATE, reason, decision.retry_after_s)
                 return
         self._progress.sends += 1
         self._tried_targets.add(choice.target.target_id)
-        self._send_to(service, placing, choice)
+        self._send_to(service, inputs, choice)
 
-    def _send_to(self, service: Service, placing: Placing, choice: Choice) -> None:
+    def _send_to(self, service: Service, inputs: ChoiceInputs, choice: Choice) -> None:
         """Send the request, or the rest of a migrated run, to a target."""
         target = choice.target
-        target_headers = make_told(
+        target_headers = make_target_headers(
             self._context,
-            self._admitted,
+            self._routed,
             service,
-            placing,
+            inputs,
             choice,
             self._remaining_s,
             self._reply.last_event,
@@ -200,14 +200,14 @@
         self._crash_tracker.on_sent(target.target_id)
         note_sent(
             self._context,
-            self._admitted,
-            placing,
+            self._routed,
+            inputs,
             choice,
             target_headers,
             self._progress,
         )
         self._attempt = Attempt(
-            self._context, choice, self._admitted, target_headers, self
+            self._context, choice, self._routed, target_headers, self
         )
         self._attempt.start()
 
@@ -225,7 +225,7 @@
 
     def may_move(self) -> bool:
         """Tell whether time, limits, budget and targets allow one more attempt."""
-        has_attempts = self._progress.runs + 1 < self._admitted.route.max_attempts
+        has_attempts = self._progress.runs + 1 < self._routed.route.max_attempts
         has_budget = self._context.budget(self._service_name).has_room(boot_time())
         has_time = self._remaining_s > MIN_RETRY_TIME_S
         return has_attempts and has_budget and has_time and self._has_other_target()
@@ -248,10 +248,10 @@
             )
             return
         self._relocation.begin(moved)
-        placing = make_placing(
-            self._context, self._admitted, service, self._tried_targets
+        inputs = make_choice_inputs(
+            self._context, self._routed, service, self._tried_targets
         )
-        self._send_to(service, placing, Choice(target, 0.0))
+        self._send_to(service, inputs, Choice(target, 0.0))
 
     def _on_takeover_refused(self, moved: MovedRun, result: AttemptResult) -> None:
         """Resume a run at its source after a refused takeover, or retry the request."""
@@ -293,7 +293,7 @@
             self._retry(result, is_run=not is_not_run)
 
     def _on_answer(self, result: AttemptResult) -> None:
-        status, route = result.status, self._admitted.route
+        status, route = result.status, self._routed.route
         if self._reply.has_head:
             # The caller has received the head of a stream, and a response with another
             # status cannot follow it.
@@ -318,14 +318,14 @@
         service = self._context.routes.service(self._service_name)
         if service is None:
             return False
-        placing = make_placing(
-            self._context, self._admitted, service, self._tried_targets
+        inputs = make_choice_inputs(
+            self._context, self._routed, service, self._tried_targets
         )
-        return choose(self._context.targets.of(self._service_name), placing) is not None
+        return choose(self._context.targets.of(self._service_name), inputs) is not None
 
     def _retry(self, result: AttemptResult, is_run: bool) -> None:
         """Send the request to another target, or give up."""
-        route, progress = self._admitted.route, self._progress
+        route, progress = self._routed.route, self._progress
         reason = result.reason
         if is_run:
             allowed = route.is_repeatable and progress.runs < route.max_attempts
@@ -347,7 +347,7 @@
     def _record_retry(self, result: AttemptResult, reason: str) -> None:
         last_event = self._reply.last_event
         note_retry(
-            self._context, self._admitted, self._progress, result, reason, last_event
+            self._context, self._routed, self._progress, result, reason, last_event
         )
 
     # Ends without a response from a target.
@@ -419,7 +419,7 @@
         if self._has_ended:
             return
         waited_s = boot_time() - self._started_at
-        target_latency_s = self._admitted.route.target_latency_s
+        target_latency_s = self._routed.route.target_latency_s
         if self._attempt is not None:
             self._attempt.cancel(is_overdue=waited_s > 3 * target_latency_s)
         self._finish("caller_left", 0, None)
@@ -445,5 +445,5 @@
             boot_time() - self._started_at,
             self._remaining_s,
         )
-        note_end(self._context, self._admitted, self._progress, end)
+        note_end(self._context, self._routed, self._progress, end)
         self._on_end(self)
--- a/berylnotch/entry/model.py
+++ b/berylnotch/entry/model.py
@@ -13,7 +13,7 @@
 
 
 @frozen
-class Placing:
+class ChoiceInputs:
     """Inputs of the choice of a target for one request.
 
     Parameters
@@ -34,14 +34,14 @@
         on the older weights.
     target_latency_s : float
         Time within which the first event should arrive, in seconds; 0 for no target.
-    chain : Chain
+    chain : PrefixChain
         Shared prefixes of the prompt.
     prompt_tokens : int
         Number of tokens of the whole prompt.
-    wait_part : float
+    queue_share : float
         Fraction of an engine's queue that is processed before the request. Engines
         admit urgent requests before the others.
-    overshoot_ms : float
+    max_overshoot_ms : float
         Longest recent time, in ms, by which first events arrived later than expected.
     failure_domain : str
         Failure domain of the router.
@@ -53,14 +53,14 @@
         target at the same time if each compared all targets.
     draw : callable
         Returns a random integer from 0 up to, but not including, its argument.
-    run : callable
+    cached_levels : callable
         Returns the levels of the chain that a target probably holds.
     holders : callable
         Returns the targets that probably hold or are processing a level.
-    saved : callable
+    stored_levels : callable
         Returns the number of levels that a store probably holds for the weights of a
         target.
-    walk : callable or None
+    ring_walk : callable or None
         Returns the targets in the order of a key on the consistent-hash ring, which is
         the same at all routers. With None the hashes of the targets are compared.
     weights_samples : callable
@@ -78,16 +78,16 @@
     target_latency_s: float = 0.0
     chain: PrefixChain = EMPTY_CHAIN
     prompt_tokens: int = 0
-    wait_part: float = 1.0
-    overshoot_ms: float = 0.0
+    queue_share: float = 1.0
+    max_overshoot_ms: float = 0.0
     failure_domain: str = ""
     excluded: Collection[str] = ()
     sample: int = 0
     draw: Callable[[int], int] = lambda count: 0
-    run: Callable[[Target], CachedLevels] = lambda target: NO_CACHED_LEVELS
+    cached_levels: Callable[[Target], CachedLevels] = lambda target: NO_CACHED_LEVELS
     holders: Callable[[], Collection[Target]] = lambda: ()
-    saved: Callable[[Target], int] = lambda target: 0
-    walk: Callable[[str], Iterator[Target]] | None = None
+    stored_levels: Callable[[Target], int] = lambda target: 0
+    ring_walk: Callable[[str], Iterator[Target]] | None = None
     weights_samples: Callable[[], Collection[Target]] = lambda: ()
     costs: EngineCosts = field(factory=EngineCosts)
 
@@ -110,11 +110,11 @@
         Disadvantages of the target other than the delay, expressed in ms.
     source : Target or None
         Engine from which the target copies the prefix that it does not hold.
-    unread : int
+    uncached_tokens : int
         Prompt tokens that the target probably has to process.
-    copied : int
+    copied_tokens : int
         Shared tokens that the target copies from another engine.
-    read_again : int
+    reprocessed_tokens : int
         Shared tokens that the target processes although another engine holds or is
         processing them.
     """
@@ -124,6 +124,6 @@
     queue_ms: float = 0.0
     drawback_ms: float = 0.0
     source: Target | None = None
-    unread: int = 0
-    copied: int = 0
-    read_again: int = 0
+    uncached_tokens: int = 0
+    copied_tokens: int = 0
+    reprocessed_tokens: int = 0
--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from berylnotch.entry.model import Choice, Placing
+from berylnotch.entry.model import Choice, ChoiceInputs
 from berylnotch.entry.targets import Target
 from berylnotch.placement.cache_model import CachedLevels
 
@@ -48,16 +48,16 @@
     ----------
     targets : list of Target
         Targets that are compared.
-    placing : Placing
+    inputs : ChoiceInputs
         Inputs to the choice.
     """
 
-    def __init__(self, targets: list[Target], placing: Placing) -> None:
-        self._placing = placing
-        self._chain = placing.chain
-        self._runs = {t.target_id: placing.run(t) for t in targets}
+    def __init__(self, targets: list[Target], inputs: ChoiceInputs) -> None:
+        self._inputs = inputs
+        self._chain = inputs.chain
+        self._cached_levels = {t.target_id: inputs.cached_levels(t) for t in targets}
         #: Tokens that are not shared, so that any engine has to read them.
-        self.own_tokens = max(0, placing.prompt_tokens - self._chain.shared_tokens)
+        self.own_tokens = max(0, inputs.prompt_tokens - self._chain.shared_tokens)
         #: Largest number of levels that an engine holds or reads, by weights version.
         self._known_levels: dict[int | None, int] = {}
         #: Engine that has read the most levels, by weights version.
@@ -65,96 +65,98 @@
         for target in targets:
             self._add(target)
 
-    def run(self, target: Target) -> CachedLevels:
+    def cached_levels(self, target: Target) -> CachedLevels:
         """Return the levels that a target holds."""
-        return self._runs[target.target_id]
+        return self._cached_levels[target.target_id]
 
     def known_tokens(self, target: Target) -> int:
         """Return the most shared tokens that an engine with the same weights holds."""
-        version = target.version(self._placing.model)
+        version = target.version(self._inputs.model)
         return self._chain.total(self._known_levels.get(version, 0))
 
     def source(self, target: Target) -> tuple[Target | None, int]:
         """Return an engine that a target may copy from, and its number of levels."""
-        source = self._sources.get(target.version(self._placing.model))
+        source = self._sources.get(target.version(self._inputs.model))
         if source is None or source is target:
             return None, 0
-        return source, self.run(source).ready
+        return source, self.cached_levels(source).ready
 
     def _add(self, target: Target) -> None:
-        run = self.run(target)
-        if not run.ready_or_pending:
+        cached = self.cached_levels(target)
+        if not cached.ready_or_pending:
             return
-        version = target.version(self._placing.model)
+        version = target.version(self._inputs.model)
         self._known_levels[version] = max(
-            self._known_levels.get(version, 0), run.ready_or_pending
+            self._known_levels.get(version, 0), cached.ready_or_pending
         )
-        if target.is_loading or target.ejection.blocks(self._placing.now):
+        if target.is_loading or target.ejection.blocks(self._inputs.now):
             return
         best = self._sources.get(version)
-        if run.ready and (best is None or _is_better_source(run, self.run(best))):
+        if cached.ready and (
+            best is None or _is_better_source(cached, self.cached_levels(best))
+        ):
             self._sources[version] = target
 
 
-def _is_better_source(run: CachedLevels, other: CachedLevels) -> bool:
+def _is_better_source(cached: CachedLevels, other: CachedLevels) -> bool:
     """Return whether an engine holds more levels, or as many that were used later.
 
     Engines reuse the memory of the least recently used prompts first, so recently used
     levels are less likely to have been evicted.
     """
-    return (run.ready, run.used_at) > (other.ready, other.used_at)
+    return (cached.ready, cached.used_at) > (other.ready, other.used_at)
 
 
-def price(target: Target, placing: Placing, holders: Holders) -> Choice:
+def price(target: Target, inputs: ChoiceInputs, holders: Holders) -> Choice:
     """Return the expected delay at a target, and how it obtains the prompt."""
-    chain, costs = placing.chain, placing.costs
-    held = chain.total(holders.run(target).ready_or_pending)
+    chain, costs = inputs.chain, inputs.costs
+    held = chain.total(holders.cached_levels(target).ready_or_pending)
     own_tokens = holders.own_tokens
     # The unread tokens of levels that the target is still reading are counted in its
     # queue already.
     delay = costs.read_ms(own_tokens, target.load)
     if held >= chain.shared_tokens:
-        return priced(target, placing, delay, unread=own_tokens)
+        return priced(target, inputs, delay, uncached_tokens=own_tokens)
     source, levels = holders.source(target)
-    copied = chain.total(levels) - held
-    saved = chain.total(placing.saved(target)) - held
-    if source is not None and copied > 0 and copied >= saved:
+    copied_tokens = chain.total(levels) - held
+    stored_tokens = chain.total(inputs.stored_levels(target)) - held
+    if source is not None and copied_tokens > 0 and copied_tokens >= stored_tokens:
         is_far = source.listed.failure_domain != target.listed.failure_domain
-        delay += costs.copy_ms(copied, is_far)
-        cached = held + copied
+        delay += costs.copy_ms(copied_tokens, is_far)
+        cached = held + copied_tokens
     else:
-        source, copied = None, 0
-        cached = held + max(0, saved)
-        delay += costs.store_ms(max(0, saved))
+        source, copied_tokens = None, 0
+        cached = held + max(0, stored_tokens)
+        delay += costs.store_ms(max(0, stored_tokens))
     uncached = chain.shared_tokens - cached
     delay += costs.read_ms(uncached, target.load)
-    read_again = max(0, holders.known_tokens(target) - cached)
+    reprocessed_tokens = max(0, holders.known_tokens(target) - cached)
     return priced(
         target,
-        placing,
+        inputs,
         delay,
         source=source,
-        unread=own_tokens + uncached,
-        copied=copied,
-        read_again=read_again,
+        uncached_tokens=own_tokens + uncached,
+        copied_tokens=copied_tokens,
+        reprocessed_tokens=reprocessed_tokens,
     )
 
 
-def begins_in_time(choice: Choice, placing: Placing) -> bool:
+def begins_in_time(choice: Choice, inputs: ChoiceInputs) -> bool:
     """Return whether an engine begins before its weights are too old to be used."""
-    if not placing.model:
+    if not inputs.model:
         return True
-    outdated_s = placing.outdated_s(choice.target.version(placing.model) or 0)
+    outdated_s = inputs.outdated_s(choice.target.version(inputs.model) or 0)
     if not outdated_s:
         return True
     latest_ms = max(
-        LATEST_START_FACTOR * choice.delay_ms, choice.delay_ms + placing.overshoot_ms
+        LATEST_START_FACTOR * choice.delay_ms, choice.delay_ms + inputs.max_overshoot_ms
     )
-    return outdated_s + latest_ms / 1000 < placing.stale_s
+    return outdated_s + latest_ms / 1000 < inputs.stale_s
 
 
 def priced(
-    target: Target, placing: Placing, prompt_ms: float, **changes: Any
+    target: Target, inputs: ChoiceInputs, prompt_ms: float, **changes: Any
 ) -> Choice:
     """Return a choice with its expected delay and additional cost.
 
@@ -162,49 +164,49 @@
     ----------
     target : Target
         The target.
-    placing : Placing
+    inputs : ChoiceInputs
         Inputs to the choice.
     prompt_ms : float
         Time for the request's own prompt, without the queue before it.
     **changes
         Further fields of the choice.
     """
-    drawback = _drawback_ms(target, placing)
-    if not placing.model:
+    drawback = _drawback_ms(target, inputs)
+    if not inputs.model:
         return Choice(target, prompt_ms + 1000 * target.latency_s, 0.0, drawback)
-    costs = placing.costs
+    costs = inputs.costs
     queue = costs.read_ms(target.total_unread, target.load)
-    delay = costs.base_ms + placing.wait_part * queue + prompt_ms
+    delay = costs.base_ms + inputs.queue_share * queue + prompt_ms
     return Choice(target, delay, queue, drawback, **changes)
 
 
-def _drawback_ms(target: Target, placing: Placing) -> float:
+def _drawback_ms(target: Target, inputs: ChoiceInputs) -> float:
     """Return the cost of a target beside its expected delay, in ms."""
     cost = FAILURE_MS * target.ejection.failures
     cost += (
         FULL_FAILURE_RATE_MS * target.failure_rate + REQUEST_IN_FLIGHT_MS * target.load
     )
-    if target.listed.failure_domain != placing.failure_domain:
+    if target.listed.failure_domain != inputs.failure_domain:
         cost += OTHER_DOMAIN_MS
-    if not placing.model:
+    if not inputs.model:
         over = target.load + 1 - max(1, target.listed.slots)
         cost += QUEUED_MS * max(0, over)
     return cost
 
 
-def worth_ms(choice: Choice, placing: Placing) -> float:
+def worth_ms(choice: Choice, inputs: ChoiceInputs) -> float:
     """Return the total cost of a choice in ms.
 
     It is the sum of the expected delay, the additional cost of the target, and the
     lower value of an answer that is late or comes from outdated weights.
     """
     cost = choice.delay_ms + choice.drawback_ms
-    if not placing.model:
+    if not inputs.model:
         return cost
-    version = choice.target.version(placing.model) or 0
-    if placing.outdated_s(version) > placing.fresh_s:
+    version = choice.target.version(inputs.model) or 0
+    if inputs.outdated_s(version) > inputs.fresh_s:
         cost += OUTDATED_WEIGHTS_MS
-    latency_ms = 1000 * placing.target_latency_s
+    latency_ms = 1000 * inputs.target_latency_s
     if latency_ms:
         over = (choice.delay_ms / latency_ms - SAFE_LATENCY_FRACTION) / (
             1 - SAFE_LATENCY_FRACTION
--- a/berylnotch/entry/reading.py
+++ b/berylnotch/entry/reading.py
@@ -4,9 +4,9 @@
 
 from attrs import evolve
 
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.context import EntryContext
 from berylnotch.entry.model import Choice
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.group.messages import PromptNote
 from berylnotch.placement.cache_model import Holding
 from berylnotch.platform.requests import TargetHeaders
@@ -25,7 +25,7 @@
         Shared state of the router.
     choice : Choice
         Target that the request is sent to.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     target_headers : TargetHeaders
         Headers that the target receives with the request.
@@ -35,15 +35,15 @@
         self,
         context: EntryContext,
         choice: Choice,
-        admitted: Admitted,
+        routed: RoutedRequest,
         target_headers: TargetHeaders,
     ) -> None:
         self._context = context
         self._target = choice.target
-        self._caller = admitted.caller
-        self._admitted = admitted
+        self._caller = routed.caller
+        self._routed = routed
         self._target_headers = target_headers
-        self._tokens = self._unread = choice.unread
+        self._tokens = self._unread = choice.uncached_tokens
         #: Prompt tokens that the target had to read before those of this request.
         self._tokens_ahead = choice.target.total_unread
         self._queue_ms = choice.queue_ms
@@ -93,10 +93,10 @@
     def _measure(self, first_event_ms: float) -> None:
         meter = self._context.meter(self._target.listed.service)
         meter.note_overshoot(self._expected_ms, first_event_ms)
-        admitted = self._admitted
+        routed = self._routed
         meter.note_wait(
-            admitted.priority,
-            admitted.is_urgent,
+            routed.priority,
+            routed.is_urgent,
             self._tokens,
             self._queue_ms,
             first_event_ms,
--- a/berylnotch/entry/records.py
+++ b/berylnotch/entry/records.py
@@ -4,10 +4,10 @@
 
 from attrs import define, frozen
 
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.context import EntryContext
-from berylnotch.entry.model import Choice, Placing
+from berylnotch.entry.model import Choice, ChoiceInputs
 from berylnotch.entry.results import AttemptResult
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.platform.requests import TargetHeaders
 from berylnotch.util.metrics import Label
 
@@ -66,8 +66,8 @@
 
 def note_sent(
     context: EntryContext,
-    admitted: Admitted,
-    placing: Placing,
+    routed: RoutedRequest,
+    inputs: ChoiceInputs,
     choice: Choice,
     target_headers: TargetHeaders,
     progress: Progress,
@@ -76,20 +76,20 @@
     target = choice.target
     context.log.info(
         "sent",
-        id=admitted.caller.request_id,
-        route=admitted.route.name,
+        id=routed.caller.request_id,
+        route=routed.route.name,
         target=target.target_id,
         send=progress.sends,
         load=target.load,
         own_load=target.in_flight,
-        prompt=admitted.caller.prompt_tokens,
-        shared=placing.chain.path.rpartition("/")[2],
-        shared_tokens=placing.chain.shared_tokens,
+        prompt=routed.caller.prompt_tokens,
+        shared=inputs.chain.path.rpartition("/")[2],
+        shared_tokens=inputs.chain.shared_tokens,
         fetch=target_headers.fetch_from,
         save=target_headers.save_to,
         weights=target_headers.weights_version,
-        wanted=placing.wanted_version,
-        unread=choice.unread,
+        wanted=inputs.wanted_version,
+        unread=choice.uncached_tokens,
         expected_s=choice.delay_ms / 1000,
         after=target_headers.resume_after,
         origin=target_headers.run_origin,
@@ -100,7 +100,7 @@
 
 def note_retry(
     context: EntryContext,
-    admitted: Admitted,
+    routed: RoutedRequest,
     progress: Progress,
     result: AttemptResult,
     reason: str,
@@ -111,7 +111,7 @@
     context.metrics.count("berylnotch_retries_total", Label("service", listed.service))
     context.log.warning(
         "sent_again",
-        id=admitted.caller.request_id,
+        id=routed.caller.request_id,
         target=listed.target_id,
         reason=reason,
         sends=progress.sends,
@@ -121,15 +121,15 @@
 
 
 def note_end(
-    context: EntryContext, admitted: Admitted, progress: Progress, end: RequestEnd
+    context: EntryContext, routed: RoutedRequest, progress: Progress, end: RequestEnd
 ) -> None:
     """Log and count the end of a request."""
     write = context.log.info if end.outcome == "served" else context.log.warning
     write(
         "finished",
-        id=admitted.caller.request_id,
-        route=admitted.route.name,
-        organisation=admitted.organisation_name,
+        id=routed.caller.request_id,
+        route=routed.route.name,
+        organisation=routed.organisation_name,
         outcome=end.outcome,
         status=end.status,
         reason=end.reason,
@@ -143,7 +143,7 @@
     )
     context.metrics.count(
         "berylnotch_requests_total",
-        Label("route", admitted.route.name),
+        Label("route", routed.route.name),
         Label("outcome", end.outcome),
         Label("status", str(end.status)),
     )
--- a/berylnotch/entry/relocation.py
+++ b/berylnotch/entry/relocation.py
@@ -10,11 +10,11 @@
 
 from collections.abc import Collection
 
-from berylnotch.entry.admitted import Admitted
+from berylnotch.entry.choice_inputs import make_choice_inputs
 from berylnotch.entry.context import EntryContext
-from berylnotch.entry.model import Placing
+from berylnotch.entry.model import ChoiceInputs
 from berylnotch.entry.moving import MovedRun
-from berylnotch.entry.placing import make_placing
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.targets import Target
 from berylnotch.util.clock import boot_time
 
@@ -27,7 +27,7 @@
 
 
 def choose_refuge(
-    targets: Collection[Target], placing: Placing, source: Target
+    targets: Collection[Target], inputs: ChoiceInputs, source: Target
 ) -> Target | None:
     """Return the engine to which a run migrates, or None if it stays.
 
@@ -35,18 +35,18 @@
     stays if its weights are too old for new requests. Of several engines the least
     loaded one is selected.
     """
-    version = source.version(placing.model)
-    if version is None or placing.outdated_s(version) >= placing.stale_s:
+    version = source.version(inputs.model)
+    if version is None or inputs.outdated_s(version) >= inputs.stale_s:
         return None
 
     def is_eligible(target: Target) -> bool:
         if target is source or target.is_emptying:
             return False
-        if target.target_id in placing.excluded:
+        if target.target_id in inputs.excluded:
             return False
-        if target.version(placing.model) != version:
+        if target.version(inputs.model) != version:
             return False
-        if not target.is_usable(placing.now) or target.is_avoided(placing.now):
+        if not target.is_usable(inputs.now) or target.is_avoided(inputs.now):
             return False
         return target.load < MAX_SLOT_FRACTION * max(1, target.listed.slots)
 
@@ -63,13 +63,13 @@
     ----------
     context : EntryContext
         Shared state of the router.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     """
 
-    def __init__(self, context: EntryContext, admitted: Admitted) -> None:
+    def __init__(self, context: EntryContext, routed: RoutedRequest) -> None:
         self._context = context
-        self._admitted = admitted
+        self._routed = routed
         #: The stopped run that the current attempt resumes.
         self._moved: MovedRun | None = None
         #: Whether the retry budget was charged for a migration that has not begun.
@@ -89,9 +89,9 @@
             return None
         if not service.engine.moves_runs:
             return None
-        placing = make_placing(self._context, self._admitted, service, excluded)
+        inputs = make_choice_inputs(self._context, self._routed, service, excluded)
         targets = self._context.targets.of(service_name)
-        destination = choose_refuge(targets, placing, source)
+        destination = choose_refuge(targets, inputs, source)
         return (
             destination
             if destination is not None and self._charge_budget(service_name)
--- a/berylnotch/entry/admitted.py
+++ b/berylnotch/entry/routed_request.py
@@ -20,7 +20,7 @@
 
 
 @frozen
-class Admitted:
+class RoutedRequest:
     """A request with its route and its organisation.
 
     Parameters
--- a/berylnotch/placement/cache_model.py
+++ b/berylnotch/placement/cache_model.py
@@ -63,7 +63,7 @@
     used_at: float = field(default=0.0, eq=False)
 
 
-#: Run of an engine that caches no level of a chain.
+#: Result for an engine that caches no level of a chain.
 NO_CACHED_LEVELS = CachedLevels()
 
 
@@ -162,10 +162,10 @@
                 break
         return selected
 
-    def saved_levels(self, now: float, store: str, hashes: Sequence[int]) -> int:
+    def stored_levels(self, now: float, store: str, hashes: Sequence[int]) -> int:
         """Return how many leading levels of a chain a KV store probably caches."""
         for count in range(len(hashes), 0, -1):
-            if self.is_saved(now, store, hashes[count - 1]):
+            if self.is_stored(now, store, hashes[count - 1]):
                 return count
         return 0
 
@@ -179,7 +179,7 @@
             self._unreported_tokens.get(target_id, 0) + tokens
         )
 
-    def is_saved(self, now: float, store: str, prefix_hash: int) -> bool:
+    def is_stored(self, now: float, store: str, prefix_hash: int) -> bool:
         """Return whether a KV store probably caches a prefix."""
         saved_at = self._store_entries.get((store, prefix_hash))
         return saved_at is not None and now - saved_at < STORE_ENTRY_TTL_S
@@ -202,13 +202,13 @@
 
     def record_store_transfer(self, now: float, note: PromptNote) -> None:
         """Record the transfer of a prefix to a KV store, and queue a note of it."""
-        self._record_saved(now, note)
+        self._record_stored(now, note)
         self._queue_note(note)
 
     def apply_note(self, now: float, note: PromptNote, capacity: int | None) -> None:
         """Apply a note of another router; ``capacity`` is None for a KV store."""
         if capacity is None:
-            self._record_saved(now, note)
+            self._record_stored(now, note)
         else:
             self._record_prefill(now, note, capacity)
 
@@ -232,7 +232,7 @@
         if len(self._notes) < MAX_QUEUED_NOTES:
             self._notes.append(note)
 
-    def _record_saved(self, now: float, note: PromptNote) -> None:
+    def _record_stored(self, now: float, note: PromptNote) -> None:
         key = (note.holder, note.prompt)
         self._store_entries[key] = now
         self._store_entries.move_to_end(key)
--- a/berylnotch/placement/costs.py
+++ b/berylnotch/placement/costs.py
@@ -128,7 +128,7 @@
         return self._fit[1]
 
     @property
-    def overshoot_ms(self) -> float:
+    def max_overshoot_ms(self) -> float:
         """Largest recent excess over the expected time to first token, in ms."""
         return self._overshoot_ms
 
@@ -137,7 +137,7 @@
         decayed_ms = OVERSHOOT_DECAY * self._overshoot_ms
         self._overshoot_ms = max(decayed_ms, took_ms - expected_ms)
 
-    def wait_part(self, priority: int, is_urgent: bool) -> float:
+    def queue_share(self, priority: int, is_urgent: bool) -> float:
         """Return the share of the prefill queue that delays a priority's requests."""
         initial = INITIAL_URGENT_QUEUE_SHARE if is_urgent else INITIAL_QUEUE_SHARE
         return self._queue_shares.get(priority, initial)
@@ -170,7 +170,7 @@
             return
         waited_ms = took_ms - self.base_ms - tokens * self.token_ms
         share = min(INITIAL_QUEUE_SHARE, max(MIN_QUEUE_SHARE, waited_ms / queue_ms))
-        estimate = self.wait_part(priority, is_urgent)
+        estimate = self.queue_share(priority, is_urgent)
         self._queue_shares[priority] = (
             estimate + (share - estimate) * QUEUE_SHARE_SMOOTHING
         )
--- a/tests/test_entry/support.py
+++ b/tests/test_entry/support.py
@@ -1,8 +1,8 @@
 """Builders and fakes for tests of the request path."""
 
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.exchange import Exchange
-from berylnotch.entry.model import Placing
+from berylnotch.entry.model import ChoiceInputs
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.targets import Target
 from berylnotch.membership.ejection import Ejection
 from berylnotch.membership.listing import ListedTarget, ModelVersion
@@ -50,7 +50,9 @@
     own = PromptPart("own", prompt_tokens - sum(part.tokens for part in shared))
     chain = make_prefix_chain((*shared, own), prompt_tokens)
     if holding is not None:
-        changes["run"] = lambda target: make_run(holding(target), len(chain.levels))
+        changes["cached_levels"] = lambda target: make_cached_levels(
+            holding(target), len(chain.levels)
+        )
     values = {
         "now": 100.0,
         "model": MODEL,
@@ -61,10 +63,10 @@
         "failure_domain": "north",
     }
     values.update(changes)
-    return Placing(**values)
+    return ChoiceInputs(**values)
 
 
-def make_run(holding, levels):
+def make_cached_levels(holding, levels):
     """Return the cached prefix of an engine that holds or processes some levels."""
     if holding is Holding.NONE:
         return CachedLevels()
@@ -73,7 +75,7 @@
 
 def short_request(**changes):
     """Return the inputs of the choice for a request with a short prompt."""
-    values = {"shared_tokens": 55, "prompt_tokens": 380, "wait_part": 0.3}
+    values = {"shared_tokens": 55, "prompt_tokens": 380, "queue_share": 0.3}
     values.update(changes)
     return long_request(**values)
 
@@ -117,8 +119,8 @@
     for name, value in changes.items():
         setattr(request, name, value)
     route = context.routes.route("app.example", request.path)
-    admitted = Admitted(request, decode_request(request), route, organisation)
+    routed = RoutedRequest(request, decode_request(request), route, organisation)
     connection, ended = Connection(), []
-    exchange = Exchange(context, connection, admitted, ended.append)
+    exchange = Exchange(context, connection, routed, ended.append)
     exchange.start()
     return exchange, connection, ended
--- a/tests/test_entry/test_admission.py
+++ b/tests/test_entry/test_admission.py
@@ -4,7 +4,7 @@
 event is expected too late is refused with a retry delay instead of queued.
 """
 
-from berylnotch.entry.admission import MAX_RETRY_S, judge
+from berylnotch.entry.admission import MAX_RETRY_S, decide_admission
 from berylnotch.entry.choice import Choice
 from tests.test_entry.support import make_target
 
@@ -16,19 +16,21 @@
 
 
 def test_stream_expected_in_time_or_slightly_late_is_admitted():
-    assert judge(make_choice(200), 1.0, 10.0).is_admitted
-    assert judge(make_choice(2500), 1.0, 10.0).is_admitted
+    assert decide_admission(make_choice(200), 1.0, 10.0).is_admitted
+    assert decide_admission(make_choice(2500), 1.0, 10.0).is_admitted
 
 
 def test_stream_expected_too_late_is_refused_with_a_retry_delay():
-    verdict = judge(make_choice(3600), 1.0, 10.0)
+    verdict = decide_admission(make_choice(3600), 1.0, 10.0)
     assert not verdict.is_admitted and verdict.retry_after_s == 2.6
-    assert judge(make_choice(60_000), 1.0, 90.0).retry_after_s == MAX_RETRY_S
+    assert decide_admission(make_choice(60_000), 1.0, 90.0).retry_after_s == MAX_RETRY_S
 
 
 def test_stream_that_cannot_meet_its_deadline_is_refused():
-    assert not judge(make_choice(1500), 1.0, 1.2).is_admitted
+    assert not decide_admission(make_choice(1500), 1.0, 1.2).is_admitted
 
 
 def test_engine_with_free_slots_and_no_queue_refuses_nothing():
-    assert judge(make_choice(5000, load=3, unread=1000), 1.0, 10.0).is_admitted
+    assert decide_admission(
+        make_choice(5000, load=3, unread=1000), 1.0, 10.0
+    ).is_admitted
--- a/tests/test_entry/test_choice.py
+++ b/tests/test_entry/test_choice.py
@@ -43,7 +43,7 @@
     home = choose(engines, long_request()).target
     holder = next(e for e in engines if e is not home)
     choice = choose(engines, long_request(holding=held_by(holder)))
-    assert choice.target is holder and choice.unread == 4000
+    assert choice.target is holder and choice.uncached_tokens == 4000
 
 
 def test_engine_that_processes_the_prompt_is_chosen_but_is_no_copy_source():
@@ -68,26 +68,26 @@
 def test_prompt_is_not_copied_from_other_weights():
     engines = [make_target("old", version=1), make_target("new", version=2)]
     engines[0].unread = 300_000
-    placing = long_request(wanted_version=2, holding=held_by(engines[0]))
-    choice = choose(engines, placing)
+    inputs = long_request(wanted_version=2, holding=held_by(engines[0]))
+    choice = choose(engines, inputs)
     assert choice.target is engines[1] and choice.source is None
 
 
 def test_older_weights_are_chosen_only_if_newer_ones_are_too_slow():
     old, new = make_target("old", version=1), make_target("new", version=2)
     outdated = {1: 3.0, 2: 0.0}
-    placing = short_request(
+    inputs = short_request(
         wanted_version=2, outdated_s=outdated.get, fresh_s=1.2, stale_s=12.0
     )
-    assert choose([old, new], placing).target is new
+    assert choose([old, new], inputs).target is new
     new.in_flight, new.unread = 60, 250_000
-    assert choose([old, new], placing).target is old
+    assert choose([old, new], inputs).target is old
 
 
 def test_weights_outdated_beyond_the_limit_are_not_used():
     old = make_target("old", version=1)
-    placing = short_request(wanted_version=2, outdated_s=lambda v: 13.0, stale_s=12.0)
-    assert choose([old], placing) is None
+    inputs = short_request(wanted_version=2, outdated_s=lambda v: 13.0, stale_s=12.0)
+    assert choose([old], inputs) is None
 
 
 def test_unusable_targets_are_excluded():
@@ -97,10 +97,10 @@
     for number in range(2):
         ejected.ejection.failed(99.9, number)
     refused.refused_until = 100.5
-    placing = short_request(excluded={excluded.target_id})
+    inputs = short_request(excluded={excluded.target_id})
     engines = [loading, leaving, ejected, excluded, refused]
-    assert choose(engines, placing) is None
-    assert 0 < usable_in_s([refused], placing) <= 0.5
+    assert choose(engines, inputs) is None
+    assert 0 < usable_in_s([refused], inputs) <= 0.5
 
 
 def test_failing_and_slow_plain_targets_get_fewer_requests():
@@ -109,33 +109,33 @@
         failing.note_outcome(True, 0.05)
         good.note_outcome(False, 0.05)
         slow.note_outcome(False, 0.5)
-    placing = short_request(model="")
-    assert choose([good, failing, slow], placing).target is good
+    inputs = short_request(model="")
+    assert choose([good, failing, slow], inputs).target is good
     good.in_flight = 40
-    assert choose([good, failing, slow], placing).target is not good
+    assert choose([good, failing, slow], inputs).target is not good
 
 
 def test_suspect_targets_are_avoided_except_by_routers_that_probe_them():
     suspect, other = make_engines(2)
     suspect.is_suspect = True
     other.in_flight = 50
-    placing = short_request()
-    assert choose([suspect, other], placing).target is other
-    assert choose([suspect], placing).target is suspect
+    inputs = short_request()
+    assert choose([suspect, other], inputs).target is other
+    assert choose([suspect], inputs).target is suspect
     for number in range(2):
         suspect.ejection.failed(90.0, number)
-    assert choose([suspect, other], placing).target is suspect
+    assert choose([suspect, other], inputs).target is suspect
 
 
 def test_many_routers_with_the_same_knowledge_do_not_choose_the_same_target():
     engines = make_engines(30)
     rng = random.Random(1)
-    placing = short_request(sample=3, draw=rng.randrange)
-    chosen = Counter(choose(engines, placing).target.target_id for _ in range(300))
+    inputs = short_request(sample=3, draw=rng.randrange)
+    chosen = Counter(choose(engines, inputs).target.target_id for _ in range(300))
     assert max(chosen.values()) < 300 * 0.15
     busy = engines[0]
     busy.unread = 500_000
-    again = Counter(choose(engines, placing).target.target_id for _ in range(300))
+    again = Counter(choose(engines, inputs).target.target_id for _ in range(300))
     assert again[busy.target_id] == 0
 
 
@@ -149,8 +149,8 @@
     }
     assert len(chosen) > 15
     holder = choose(engines, long_request()).target
-    placing = long_request(sample=3, holding=held_by(holder))
-    assert choose(engines, placing).target is holder
+    inputs = long_request(sample=3, holding=held_by(holder))
+    assert choose(engines, inputs).target is holder
 
 
 @pytest.mark.parametrize("usable", [300, 20, 2, 1])
@@ -159,8 +159,8 @@
     for unusable in engines[usable:]:
         unusable.is_leaving = True
     rng = random.Random(usable)
-    placing = short_request(sample=3, draw=rng.randrange)
-    chosen = Counter(choose(engines, placing).target.target_id for _ in range(200))
+    inputs = short_request(sample=3, draw=rng.randrange)
+    chosen = Counter(choose(engines, inputs).target.target_id for _ in range(200))
     assert set(chosen) <= {e.target_id for e in engines[:usable]}
     # Each choice takes the best target of a sample, so no engine gets most requests.
     assert len(chosen) >= min(usable, 15) - 1
@@ -169,28 +169,30 @@
 def test_choice_from_a_sample_examines_few_of_many_targets():
     examined = []
     engines = make_engines(3000)
-    placing = short_request(
+    inputs = short_request(
         sample=3,
         draw=random.Random(1).randrange,
         outdated_s=lambda version: examined.append(version) or 0.0,
     )
-    assert choose(engines, placing) is not None
+    assert choose(engines, inputs) is not None
     assert len(examined) < 30
 
 
 TREE = [("common", 512), ("house", 4000), ("subject", 3000)]
 
 
-def nested_request(run, **changes):
-    return long_request(parts=TREE, prompt_tokens=12_000, run=run, **changes)
+def nested_request(cached_levels, **changes):
+    return long_request(
+        parts=TREE, prompt_tokens=12_000, cached_levels=cached_levels, **changes
+    )
 
 
 def test_engine_with_the_longest_prefix_is_chosen():
     engines = make_engines(4)
     runs = {"e1": CachedLevels(1, 1), "e2": CachedLevels(2, 2)}
-    placing = nested_request(lambda t: runs.get(t.target_id, CachedLevels()))
-    choice = choose(engines, placing)
-    assert choice.target is engines[2] and choice.unread == 12_000 - 7512
+    inputs = nested_request(lambda t: runs.get(t.target_id, CachedLevels()))
+    choice = choose(engines, inputs)
+    assert choice.target is engines[2] and choice.uncached_tokens == 12_000 - 7512
 
 
 def test_prefix_that_no_engine_holds_is_not_counted_as_reprocessed():
@@ -199,8 +201,8 @@
     choice = choose(
         engines, nested_request(lambda t: runs.get(t.target_id, CachedLevels()))
     )
-    assert choice.target is engines[1] and choice.unread == 12_000 - 4512
-    assert choice.read_again == 0
+    assert choice.target is engines[1] and choice.uncached_tokens == 12_000 - 4512
+    assert choice.reprocessed_tokens == 0
 
 
 def test_engine_with_a_partial_prefix_copies_the_rest():
@@ -209,22 +211,22 @@
     engines[1].unread = 300_000
     choice = choose(engines, nested_request(lambda t: runs[t.target_id]))
     assert choice.target is engines[0] and choice.source is engines[1]
-    assert choice.copied == 3000 and choice.unread == 12_000 - 7512
+    assert choice.copied_tokens == 3000 and choice.uncached_tokens == 12_000 - 7512
 
 
 def test_store_that_holds_more_than_an_engine_is_the_copy_source():
     engines = make_engines(2)
     runs = {"e0": CachedLevels(), "e1": CachedLevels(1, 1)}
     engines[1].unread = 300_000
-    placing = nested_request(lambda t: runs[t.target_id], saved=lambda t: 2)
-    choice = choose(engines, placing)
-    assert choice.source is None and choice.unread == 12_000 - 7512
+    inputs = nested_request(lambda t: runs[t.target_id], stored_levels=lambda t: 2)
+    choice = choose(engines, inputs)
+    assert choice.source is None and choice.uncached_tokens == 12_000 - 7512
 
 
 def test_request_is_not_sent_where_it_would_begin_on_stale_weights():
     old = make_target("old", version=1)
-    placing = short_request(wanted_version=2, outdated_s=lambda v: 8.0, stale_s=9.0)
-    assert choose([old], placing) is not None
+    inputs = short_request(wanted_version=2, outdated_s=lambda v: 8.0, stale_s=9.0)
+    assert choose([old], inputs) is not None
     old.unread = 300_000
     waiting = long_request(wanted_version=2, outdated_s=lambda v: 8.0, stale_s=9.0)
     assert choose([old], waiting) is None
@@ -264,18 +266,18 @@
     engines = make_engines(900)
     ring = Ring([(e.target_id, e) for e in engines])
 
-    def run(target):
+    def cached_levels(target):
         examined.append(target)
         return CachedLevels(2, 2) if target is engines[7] else CachedLevels()
 
-    placing = nested_request(
-        run,
+    inputs = nested_request(
+        cached_levels,
         sample=3,
-        walk=ring.walk,
+        ring_walk=ring.walk,
         holders=lambda: [engines[7]],
         draw=random.Random(1).randrange,
     )
-    assert choose(engines, placing).target is engines[7]
+    assert choose(engines, inputs).target is engines[7]
     # Three engines from the hash order, the holder, and three random engines.
     assert len(examined) <= 3 + 1 + 3
 
@@ -292,8 +294,8 @@
 def test_earlier_overshoots_of_the_expected_delay_are_added():
     old = make_target("old", version=1)
     outdated = {"wanted_version": 2, "outdated_s": lambda v: 8.0, "stale_s": 9.0}
-    assert choose([old], short_request(**outdated, overshoot_ms=500.0)) is not None
-    assert choose([old], short_request(**outdated, overshoot_ms=1500.0)) is None
+    assert choose([old], short_request(**outdated, max_overshoot_ms=500.0)) is not None
+    assert choose([old], short_request(**outdated, max_overshoot_ms=1500.0)) is None
 
 
 def many_router_request(engines, **changes):
@@ -309,7 +311,7 @@
         prompt_tokens=2400,
         sample=3,
         draw=rng.randrange,
-        walk=ring.walk,
+        ring_walk=ring.walk,
         weights_samples=lambda: {e.listed.models: e for e in engines}.values(),
         **changes,
     )
@@ -352,7 +354,7 @@
     engines, walked = make_engines(900), []
     loading = make_target("new", version=2)
     loading.is_loading, loading.loading_until = True, 200.0
-    placing = many_router_request([*engines, loading])
+    inputs = many_router_request([*engines, loading])
     ring = Ring([(e.target_id, e) for e in engines])
 
     def walk(key):
@@ -361,8 +363,8 @@
             yield engine
 
     samples = [engines[0], loading]
-    placing = evolve(placing, walk=walk, weights_samples=lambda: samples)
-    assert choose([*engines, loading], placing).target is walked[0]
+    inputs = evolve(inputs, ring_walk=walk, weights_samples=lambda: samples)
+    assert choose([*engines, loading], inputs).target is walked[0]
     assert len(walked) <= 2 * MAX_RING_STEPS
 
 
@@ -379,12 +381,12 @@
 
 def test_short_prompt_is_not_copied_from_other_weights_or_a_suspect_engine():
     old, new = make_target("old"), make_target("new", version=2)
-    placing = many_router_request(
+    inputs = many_router_request(
         [old, new], wanted_version=2, fresh_s=0.5, outdated_s=lambda v: 1.0
     )
     assert choose([new], many_router_request([new])).source is None
     new.is_loading = True
-    assert choose([old, new], placing).source is None
+    assert choose([old, new], inputs).source is None
     suspect, other = make_engines(2)
     suspect.is_suspect = True
     assert (
--- a/tests/test_entry/test_failures.py
+++ b/tests/test_entry/test_failures.py
@@ -11,8 +11,8 @@
 import attrs
 import pytest
 
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.exchange import Exchange
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.group.messages import TargetEntry
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 from berylnotch.net.messages import Headers, HttpRequest
@@ -113,8 +113,8 @@
             context.targets.update(entries)
             request = HttpRequest("POST", path, headers, b"{}", boot_time())
             route = context.routes.route("app.example", path)
-            admitted = Admitted(request, decode_request(request), route, None)
-            Exchange(context, caller, admitted, lambda exchange: None).start()
+            routed = RoutedRequest(request, decode_request(request), route, None)
+            Exchange(context, caller, routed, lambda exchange: None).start()
 
         context.loop.call_soon(send)
         assert caller.done.wait(RESPONSE_TIMEOUT_S)
--- a/tests/test_entry/test_freshness.py
+++ b/tests/test_entry/test_freshness.py
@@ -48,13 +48,13 @@
             _, _, router, position, tokens = heapq.heappop(changes)
             routers[router][position].others_unread += tokens
         receiver = rng.randrange(ROUTERS)
-        placing = long_request(
+        inputs = long_request(
             shared_id=f"p{len(waits)}",
             prompt_tokens=PROMPT_TOKENS,
             sample=3,
             draw=rng.randrange,
         )
-        chosen = choose(routers[receiver], placing).target
+        chosen = choose(routers[receiver], inputs).target
         position = routers[receiver].index(chosen)
         free_at[position] = max(now, free_at[position]) + READ_S
         waits.append(free_at[position] - now)
--- a/tests/test_entry/test_load.py
+++ b/tests/test_entry/test_load.py
@@ -13,7 +13,7 @@
 
 from attrs import define, field
 
-from berylnotch.entry.admission import judge
+from berylnotch.entry.admission import decide_admission
 from berylnotch.entry.choice import choose
 from berylnotch.entry.model import Choice
 from berylnotch.group.messages import PromptNote
@@ -63,7 +63,7 @@
         return self.free_at, unread
 
 
-def least_requests(targets, _placing):
+def least_requests(targets, _inputs):
     """Return the target with the fewest requests, as the baseline."""
     usable = [t for t in targets if not t.is_loading]
     return min(usable, key=lambda t: t.load)
@@ -107,7 +107,7 @@
         if now == arrived_at:
             requests[is_long] += 1
         part = f"p{prefix}" if is_long else None
-        placing = (long_request if is_long else short_request)(
+        inputs = (long_request if is_long else short_request)(
             now=now,
             shared_id=part or "short",
             shared_tokens=PREFIX_TOKENS if is_long else 55,
@@ -116,17 +116,17 @@
                 at, t.target_id, hash_prefix("v1", p)
             ),
         )
-        choice, retry_s = policy(targets, placing, now - arrived_at)
+        choice, retry_s = policy(targets, inputs, now - arrived_at)
         if choice is None:
             if now == arrived_at:
                 arrivals.append((now + retry_s, is_long, prefix, arrived_at))
             continue
-        target, unread = choice.target, choice.unread
+        target, unread = choice.target, choice.uncached_tokens
         is_copied = (
             choice.source is not None and part in by_id[choice.source.target_id].held
         )
         engine = by_id[target.target_id]
-        done, tokens_read = engine.process(now, part, placing.prompt_tokens, is_copied)
+        done, tokens_read = engine.process(now, part, inputs.prompt_tokens, is_copied)
         read += tokens_read
         target.in_flight += 1
         target.unread += unread
@@ -146,17 +146,17 @@
     return long_share, short_share, read, sum(left) / len(left)
 
 
-def by_delay(targets, placing, waited_s):
-    choice = choose(targets, placing)
-    verdict = judge(choice, TARGET_S, 10.0 - waited_s)
+def by_delay(targets, inputs, waited_s):
+    choice = choose(targets, inputs)
+    verdict = decide_admission(choice, TARGET_S, 10.0 - waited_s)
     if not verdict.is_admitted:
         return None, verdict.retry_after_s
     return choice, 0.0
 
 
-def by_requests(targets, placing, waited_s):
-    target = least_requests(targets, placing)
-    return Choice(target, 0.0, unread=placing.prompt_tokens), 0.0
+def by_requests(targets, inputs, waited_s):
+    target = least_requests(targets, inputs)
+    return Choice(target, 0.0, uncached_tokens=inputs.prompt_tokens), 0.0
 
 
 def test_callers_get_more_in_time_and_engines_read_less():
--- a/tests/test_entry/test_moving.py
+++ b/tests/test_entry/test_moving.py
@@ -43,8 +43,8 @@
     def test_an_excluded_engine_is_not_chosen(self):
         full, other = make_target("b"), make_target("c")
         other.in_flight = 9
-        placing = long_request(excluded=("b",))
-        assert choose_refuge([SOURCE, full, other], placing, SOURCE) is other
+        inputs = long_request(excluded=("b",))
+        assert choose_refuge([SOURCE, full, other], inputs, SOURCE) is other
 
     def test_a_run_on_weights_that_are_too_old_does_not_migrate(self):
         outdated = {"outdated_s": lambda version: 9.5, "stale_s": 9.0}
--- a/tests/test_entry/test_nested_load.py
+++ b/tests/test_entry/test_nested_load.py
@@ -67,7 +67,7 @@
     }
     targets = [e.target for e in engines.values()]
     memory, in_flight_ends = CacheModel(), []
-    now, in_time, long_requests, read_again, read_subjects = 0.0, 0, 0, 0, set()
+    now, in_time, long_requests, reprocessed_tokens, read_subjects = 0.0, 0, 0, 0, set()
     while now < SECONDS:
         now += rng.expovariate(LONG_PER_S + SHORT_PER_S)
         for end in [e for e in in_flight_ends if e[0] <= now]:
@@ -83,20 +83,20 @@
         own = OWN if is_long else 1_800
         tokens = sum(t for _, t in shared) + own
         known = shared if knows_all_parts else shared[:1]
-        placing = (long_request if is_long else short_request)(
+        inputs = (long_request if is_long else short_request)(
             now=now, parts=known, prompt_tokens=tokens
         )
-        chain = placing.chain
+        chain = inputs.chain
         prefix_hashes = chain.prefix_hashes("v1")
-        placing = (long_request if is_long else short_request)(
+        inputs = (long_request if is_long else short_request)(
             now=now,
             parts=known,
             prompt_tokens=tokens,
-            run=lambda t, at=now, m=prefix_hashes: memory.cached_levels(
+            cached_levels=lambda t, at=now, m=prefix_hashes: memory.cached_levels(
                 at, t.target_id, m
             ),
         )
-        choice = choose(targets, placing)
+        choice = choose(targets, inputs)
         target = choice.target
         copied = ()
         if choice.source is not None:
@@ -106,7 +106,7 @@
         parts = [*shared, (f"own-{now}", own)]
         done, read = engines[target.target_id].read(now, parts, copied)
         target.in_flight += 1
-        target.unread += choice.unread
+        target.unread += choice.uncached_tokens
         notes = []
         for level, prefix_hash in zip(chain.levels, prefix_hashes, strict=True):
             name = target.target_id
@@ -116,13 +116,13 @@
                 CACHE_TOKENS,
             )
             notes.append(PromptNote(prefix_hash, level.tokens, name))
-        in_flight_ends.append((done, target, choice.unread, notes))
+        in_flight_ends.append((done, target, choice.uncached_tokens, notes))
         if is_long:
             long_requests += 1
             in_time += done - now <= TARGET_S
-            read_again += read if subject in read_subjects else 0
+            reprocessed_tokens += read if subject in read_subjects else 0
             read_subjects.add(subject)
-    return in_time / long_requests, read_again
+    return in_time / long_requests, reprocessed_tokens
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_entry/test_short_prompt_load.py
+++ b/tests/test_entry/test_short_prompt_load.py
@@ -44,21 +44,21 @@
 
     requests: int = 0
     in_time: int = 0
-    read_again: int = 0
+    reprocessed_tokens: int = 0
 
 
-def random_baseline(targets, placing):
+def random_baseline(targets, inputs):
     """Return the baseline's choice: affinity to one of few engines, and no copies."""
-    drawn = [targets[placing.draw(len(targets))] for _ in range(placing.sample)]
-    home = min(drawn, key=lambda t: rendezvous_weight(t.target_id, placing.chain.path))
-    gain_ms = 2 * placing.costs.read_ms(placing.chain.shared_tokens, 0)
+    drawn = [targets[inputs.draw(len(targets))] for _ in range(inputs.sample)]
+    home = min(drawn, key=lambda t: rendezvous_weight(t.target_id, inputs.chain.path))
+    gain_ms = 2 * inputs.costs.read_ms(inputs.chain.shared_tokens, 0)
 
     def cost_ms(choice):
-        return worth_ms(choice, placing) - (gain_ms if choice.target is home else 0)
+        return worth_ms(choice, inputs) - (gain_ms if choice.target is home else 0)
 
-    read_ms = placing.costs.read_ms
+    read_ms = inputs.costs.read_ms
     choices = [
-        priced(t, placing, read_ms(PROMPT_TOKENS, t.load), unread=PROMPT_TOKENS)
+        priced(t, inputs, read_ms(PROMPT_TOKENS, t.load), uncached_tokens=PROMPT_TOKENS)
         for t in drawn
     ]
     return min(choices, key=cost_ms)
@@ -80,7 +80,7 @@
             end[1].in_flight -= 1
             end[1].unread -= end[2]
         subject = f"s{int(SUBJECTS * rng.random() ** 1.3)}"
-        placing = short_request(
+        inputs = short_request(
             now=now,
             target_latency_s=TARGET_S,
             shared_id=subject,
@@ -88,22 +88,22 @@
             prompt_tokens=PROMPT_TOKENS,
             sample=3,
             draw=rng.randrange,
-            walk=ring.walk,
+            ring_walk=ring.walk,
             weights_samples=lambda: targets[:1],
         )
-        choice = decide(targets, placing)
+        choice = decide(targets, inputs)
         engine = engines[choice.target.target_id]
         source = engines.get(choice.source.target_id) if choice.source else None
         unread = PROMPT_TOKENS - SHARED_TOKENS
         if subject not in engine.held and not (source and subject in source.held):
             unread = PROMPT_TOKENS
-            outcome.read_again += SHARED_TOKENS if subject in ever_read else 0
+            outcome.reprocessed_tokens += SHARED_TOKENS if subject in ever_read else 0
             ever_read.add(subject)
         engine.held.add(subject)
         engine.free_at = max(now, engine.free_at) + unread / TOKENS_PER_MS / 1000
         choice.target.in_flight += 1
-        choice.target.unread += choice.unread
-        ends.append((engine.free_at + 0.1, choice.target, choice.unread))
+        choice.target.unread += choice.uncached_tokens
+        ends.append((engine.free_at + 0.1, choice.target, choice.uncached_tokens))
         outcome.requests += 1
         outcome.in_time += engine.free_at + BASE_S - now <= TARGET_S
     return outcome
@@ -112,22 +112,22 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_shared_prefixes_are_read_once_and_callers_wait_no_longer(seed):
     baseline, result = simulate(random_baseline, seed), simulate(choose, seed)
-    assert result.read_again < 0.1 * baseline.read_again
+    assert result.reprocessed_tokens < 0.1 * baseline.reprocessed_tokens
     assert result.in_time / result.requests >= baseline.in_time / baseline.requests
     # Requirement: fewer than 10 of 1,000 prompt tokens are read again.
-    assert result.read_again < 0.01 * result.requests * PROMPT_TOKENS
+    assert result.reprocessed_tokens < 0.01 * result.requests * PROMPT_TOKENS
 
 
 def test_a_busy_home_is_not_chosen_but_copied_from():
     targets = [make_target(f"e{n}") for n in range(5)]
     ring = Ring([(t.target_id, t) for t in targets])
-    placing = short_request(
+    inputs = short_request(
         shared_tokens=SHARED_TOKENS,
         prompt_tokens=PROMPT_TOKENS,
-        walk=ring.walk,
+        ring_walk=ring.walk,
         weights_samples=lambda: targets[:1],
     )
-    home = choose(targets, placing).target
+    home = choose(targets, inputs).target
     home.unread = 60_000
-    choice = choose(targets, evolve(placing, wait_part=1.0))
+    choice = choose(targets, evolve(inputs, queue_share=1.0))
     assert choice.target is not home and choice.source is home
--- a/tests/test_entry/test_signals.py
+++ b/tests/test_entry/test_signals.py
@@ -105,9 +105,9 @@
     status, headers, _ = connection.answers[0]
     assert status == 503 and 1.9 < float(headers.get("Retry-After")) <= 2.2
     targets = context.targets.of("llm")
-    placing = short_request(now=boot_time(), model="model-1")
-    assert choose(targets, placing) is None
-    assert usable_in_s(targets, placing) > 1.9
+    inputs = short_request(now=boot_time(), model="model-1")
+    assert choose(targets, inputs) is None
+    assert usable_in_s(targets, inputs) > 1.9
 
 
 def test_a_back_off_with_another_status_is_ignored(context):
--- a/tests/test_placement/test_cache_model.py
+++ b/tests/test_placement/test_cache_model.py
@@ -61,8 +61,8 @@
     other.apply_note(6.0, read, 10_000)
     other.apply_note(6.0, saved, None)
     assert other.holding(1.5, "e1", hash_prefix("v1", "a")) is Holding.READY
-    assert other.is_saved(6.0, "10.0.0.9:1", hash_prefix("v1", "a"))
-    assert not other.is_saved(
+    assert other.is_stored(6.0, "10.0.0.9:1", hash_prefix("v1", "a"))
+    assert not other.is_stored(
         6.0 + STORE_ENTRY_TTL_S, "10.0.0.9:1", hash_prefix("v1", "a")
     )
     assert other.take_notes() == ()
@@ -75,7 +75,7 @@
     memory.forget_engine("e1")
     memory.forget_stores()
     assert memory.holding(1.5, "e1", hash_prefix("v1", "a")) is Holding.NONE
-    assert not memory.is_saved(5.0, "10.0.0.9:1", hash_prefix("v1", "a"))
+    assert not memory.is_stored(5.0, "10.0.0.9:1", hash_prefix("v1", "a"))
 
 
 def test_prefill_that_was_not_completed_is_removed_or_expires():
@@ -147,5 +147,5 @@
 def test_store_caches_the_levels_up_to_the_deepest_sent_level():
     memory = CacheModel()
     memory.record_store_transfer(1.0, PromptNote(12, 1000, "10.0.0.9:1"))
-    assert memory.saved_levels(1.5, "10.0.0.9:1", (11, 12, 13)) == 2
-    assert memory.saved_levels(1.5, "10.0.0.9:1", (11, 22)) == 0
+    assert memory.stored_levels(1.5, "10.0.0.9:1", (11, 12, 13)) == 2
+    assert memory.stored_levels(1.5, "10.0.0.9:1", (11, 22)) == 0
--- a/tests/test_placement/test_costs.py
+++ b/tests/test_placement/test_costs.py
@@ -56,23 +56,23 @@
     for _ in range(100):
         record_wait(0, 40.0)
         record_wait(1, 300.0)
-    assert meter.wait_part(0, True) == pytest.approx(0.1, abs=0.02)
-    assert meter.wait_part(1, True) == pytest.approx(0.75, abs=0.02)
-    assert meter.wait_part(7, False) == 1.0
+    assert meter.queue_share(0, True) == pytest.approx(0.1, abs=0.02)
+    assert meter.queue_share(1, True) == pytest.approx(0.75, abs=0.02)
+    assert meter.queue_share(7, False) == 1.0
     for _ in range(200):
         record_wait(0, 5000.0)
-    assert 0.9 < meter.wait_part(0, True) <= 1.0
-    before = meter.wait_part(1, True)
+    assert 0.9 < meter.queue_share(0, True) <= 1.0
+    before = meter.queue_share(1, True)
     record_wait(1, 5000.0, queue_ms=10.0)
-    assert meter.wait_part(1, True) == before
+    assert meter.queue_share(1, True) == before
 
 
 def test_largest_overshoot_decays_with_later_answers():
     meter = CostMeter()
-    assert meter.overshoot_ms == 0.0
+    assert meter.max_overshoot_ms == 0.0
     meter.note_overshoot(100.0, 2000.0)
     meter.note_overshoot(100.0, 50.0)
-    assert 1800 < meter.overshoot_ms < 1900
+    assert 1800 < meter.max_overshoot_ms < 1900
     for _ in range(500):
         meter.note_overshoot(100.0, 110.0)
-    assert meter.overshoot_ms == pytest.approx(10.0, abs=5.0)
+    assert meter.max_overshoot_ms == pytest.approx(10.0, abs=5.0)
