--- a/berylnotch/daemon/fleet/reports.py
+++ b/berylnotch/daemon/fleet/reports.py
@@ -98,7 +98,7 @@
                     for target in context.targets.all()
                     if target.ejection.is_out
                 ),
-                leaving=context.targets.leaving_words(),
+                leaving=context.targets.announced_departures(),
             )
         )
 
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -16,11 +16,11 @@
     apply_targets,
 )
 from berylnotch.entry.context import EntryContext
-from berylnotch.entry.early import EarlyRequests
 from berylnotch.entry.exchange import Exchange
 from berylnotch.entry.quota_gate import QuotaGate
 from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.settings import EntrySettings
+from berylnotch.entry.startup_buffer import StartupBuffer
 from berylnotch.entry.targets import TargetTable
 from berylnotch.group.columns import NumberedTargets
 from berylnotch.group.messages import (
@@ -131,7 +131,7 @@
             ask_quota=self._quota_checks.soon,
         )
         self._started_at = boot_time()
-        self._early_requests = EarlyRequests(
+        self._startup_buffer = StartupBuffer(
             loop, self._started_at + EXPECTED_STARTUP_S, self._admit_request
         )
         self._incarnation = os.urandom(8).hex()
@@ -185,7 +185,9 @@
         self._leader_link.start()
         self._reports.start()
         self._loop.call_every(QUOTA_CHECK_INTERVAL_S, self._check_quota)
-        self._loop.call_every(IDLE_CLOSE_INTERVAL_S, self._context.targets.close_old)
+        self._loop.call_every(
+            IDLE_CLOSE_INTERVAL_S, self._context.targets.close_expired
+        )
         self._log.info("started", callers=self._settings.listen)
 
     def drain(self, done: Callable[[], None]) -> None:
@@ -197,7 +199,7 @@
             Called when the router has drained, or shortly before the stop deadline.
         """
         self._is_leaving = True
-        self._early_requests.hand_on()
+        self._startup_buffer.release_all()
         self._reports.send()
         self._log.info("draining", requests=len(self._exchanges))
         address_lifetime_s = ADDRESS_TTL_S * MAX_TTL_FACTOR + REPORT_S
@@ -252,7 +254,7 @@
     def _serve(self, connection: ServerConnection, request: HttpRequest) -> None:
         if not self._has_targets and not self._is_leaving:
             deadline_s = decode_request(request).deadline_s
-            if self._early_requests.keep(connection, request, deadline_s):
+            if self._startup_buffer.add(connection, request, deadline_s):
                 return
         self._admit_request(connection, request)
 
@@ -361,9 +363,9 @@
             apply_prompt_notes(self._context, self._numbered_targets.notes(message))
 
     def _release_early_requests(self) -> None:
-        if len(self._early_requests) and self._has_targets:
-            self._log.info("early_requests", count=len(self._early_requests))
-            self._early_requests.hand_on()
+        if len(self._startup_buffer) and self._has_targets:
+            self._log.info("early_requests", count=len(self._startup_buffer))
+            self._startup_buffer.release_all()
 
     def _apply_configuration(self, update: ConfigurationUpdate) -> None:
         current = self._context.routes
--- a/berylnotch/entry/signals.py
+++ b/berylnotch/entry/announcements.py
@@ -15,7 +15,7 @@
 BACK_OFF_SPREAD = 0.1
 
 
-def take_signals(
+def apply_announcements(
     context: EntryContext, target: Target, answer: AnswerHead, request_id: str
 ) -> None:
     """Apply what a target announces about itself in the headers of an answer.
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
+from berylnotch.entry.announcements import apply_announcements
 from berylnotch.entry.events import MAX_EVENT_BYTES, EventSplitter
+from berylnotch.entry.failover import PendingAnswer, failover_at
 from berylnotch.entry.judging import forwarded_headers, is_encoded, response_problem
-from berylnotch.entry.moving import MovedRun, RunMove
-from berylnotch.entry.patience import Waiting, overdue_at
+from berylnotch.entry.migration import RunMigration, StoppedRun
 from berylnotch.entry.reading import PromptReading
 from berylnotch.entry.results import AttemptEnd, AttemptOwner, AttemptResult
-from berylnotch.entry.signals import take_signals
 from berylnotch.net.client import (
     ClientConnection,
     Failure,
@@ -92,7 +92,7 @@
         self._last_event_at = 0.0
         self._has_ended = False
         self._attempt_id = id(self)
-        self._migration: RunMove | None = None
+        self._migration: RunMigration | None = None
         self._next_migration_at = 0.0
         #: Identities of the engines that did not take over the run.
         self._asked_destinations: set[str] = set()
@@ -157,7 +157,7 @@
             self._context.loop.call_later(MIGRATION_RETRY_S, self._check_overdue)
             return
         route, now = self._routed.route, boot_time()
-        waiting = Waiting(
+        pending = PendingAnswer(
             self._sent_at,
             self._expected_s,
             self._routed.is_stream,
@@ -165,11 +165,11 @@
             self._last_event_at if self._is_stream else 0.0,
             self._target.heard_at,
         )
-        due_at = overdue_at(self._context.settings, route, waiting)
+        due_at = failover_at(self._context.settings, route, pending)
         if now < due_at or not route.target_latency_s:
             delay_s = max(0.05, due_at - now)
             self._context.loop.call_later(delay_s, self._check_overdue)
-        elif self._owner.may_move():
+        elif self._owner.can_retry_elsewhere():
             waited_s = now - (self._last_event_at or self._sent_at)
             self.cancel(is_overdue=True)
             self._report_end(
@@ -181,7 +181,7 @@
     def on_head(self, head: ResponseHead) -> bool:
         """Accept the response head; skip the head of a response to another request."""
         answer = decode_answer(head.status, head.headers)
-        take_signals(
+        apply_announcements(
             self._context, self._target, answer, self._routed.caller.request_id
         )
         own_id = self._routed.caller.request_id
@@ -229,8 +229,8 @@
             if event.is_progress:
                 # Incomplete events and comments do not show progress of the run.
                 self._last_event_at = self._target.heard_at = boot_time()
-            self._owner.stream_began(200, forwarded_headers(self._head))
-            self._owner.event(event.data, event.number)
+            self._owner.on_stream_begin(200, forwarded_headers(self._head))
+            self._owner.on_event(event.data, event.number)
             if self._has_ended:
                 return
         if len(self._splitter.tail) > MAX_EVENT_BYTES:
@@ -276,7 +276,7 @@
             target.ejection.abandoned(self._attempt_id)
         target.note_outcome(status >= 500, boot_time() - self._sent_at)
         self._count_result(f"status-{status // 100}xx")
-        self._owner.ended(
+        self._owner.on_attempt_end(
             AttemptResult(
                 target,
                 AttemptEnd.ANSWERED,
@@ -324,19 +324,19 @@
             return
         destination = None
         if len(self._asked_destinations) < MAX_MIGRATION_TARGETS:
-            destination = self._owner.refuge(self._asked_destinations)
+            destination = self._owner.choose_destination(self._asked_destinations)
         if destination is None:
             self._next_migration_at = now + MIGRATION_RETRY_S
             self._asked_destinations.clear()
             return
         self._asked_destinations.add(destination.target_id)
         request_id = self._routed.caller.request_id
-        self._migration = RunMove(
+        self._migration = RunMigration(
             self._context, request_id, self._target, destination, self._on_migration_end
         )
         self._migration.start()
 
-    def _on_migration_end(self, moved: MovedRun | None, is_sure: bool) -> None:
+    def _on_migration_end(self, moved: StoppedRun | None, is_sure: bool) -> None:
         migration, self._migration = self._migration, None
         if moved is not None:
             self._target.ejection.succeeded(self._attempt_id, self._sent_at)
@@ -368,9 +368,9 @@
     def _on_stream_complete(self) -> None:
         self._target.ejection.succeeded(self._attempt_id, self._sent_at)
         self._target.note_outcome(has_failed=False)
-        self._owner.stream_began(200, forwarded_headers(self._head))
+        self._owner.on_stream_begin(200, forwarded_headers(self._head))
         if self._splitter.tail:
-            self._owner.event(self._splitter.tail, None)
+            self._owner.on_event(self._splitter.tail, None)
         self._report_end(AttemptEnd.STREAM_COMPLETE, "")
 
     def _abort(self, reason: str) -> None:
@@ -398,11 +398,11 @@
         end: AttemptEnd,
         reason: str,
         is_lost: bool = False,
-        moved: MovedRun | None = None,
+        moved: StoppedRun | None = None,
     ) -> None:
         self._count_result(end.value.replace(" ", "-"))
         status = self._head.status if self._head else 0
         result = AttemptResult(
             self._target, end, reason, status, is_lost=is_lost, moved=moved
         )
-        self._owner.ended(result)
+        self._owner.on_attempt_end(result)
--- a/berylnotch/entry/choice.py
+++ b/berylnotch/entry/choice.py
@@ -22,7 +22,13 @@
     sampled_targets,
 )
 from berylnotch.entry.model import Choice, ChoiceInputs
-from berylnotch.entry.pricing import Holders, begins_in_time, price, priced, worth_ms
+from berylnotch.entry.pricing import (
+    PromptHoldings,
+    begins_in_time,
+    estimate_choice,
+    make_choice,
+    total_cost_ms,
+)
 from berylnotch.entry.targets import Target
 from berylnotch.placement.mixing import rendezvous_weight
 
@@ -57,17 +63,18 @@
     if not inputs.chain.has_affinity:
         return _choose_for_short_prompt(targets, inputs)
     home, usable = long_prompt_candidates(targets, inputs)
-    holders = Holders(usable, inputs)
-    choices = [price(t, inputs, holders) for t in usable]
+    holdings = PromptHoldings(usable, inputs)
+    choices = [estimate_choice(t, inputs, holdings) for t in usable]
     choices = [c for c in choices if begins_in_time(c, inputs)]
 
     def cost_ms(choice: Choice) -> float:
         cost = (
-            worth_ms(choice, inputs) + COPY_COST_MS_PER_1K * choice.copied_tokens / 1000
+            total_cost_ms(choice, inputs)
+            + COPY_COST_MS_PER_1K * choice.copied_tokens / 1000
         )
         cost += REPROCESSING_COST_MS_PER_1K * choice.reprocessed_tokens / 1000
         has_home_bonus = (
-            choice.target is home and choice.uncached_tokens > holders.own_tokens
+            choice.target is home and choice.uncached_tokens > holdings.own_tokens
         )
         return cost - HOME_BONUS_MS if has_home_bonus else cost
 
@@ -92,7 +99,7 @@
         usable += [t for t in homes.values() if t.target_id not in included_ids]
     uncached_tokens, costs = inputs.prompt_tokens, inputs.costs
     choices = [
-        priced(
+        make_choice(
             t,
             inputs,
             costs.read_ms(uncached_tokens, t.load),
@@ -105,7 +112,7 @@
 
     def cost_ms(choice: Choice) -> float:
         home = homes.get(choice.target.version(inputs.model), choice.target)
-        return worth_ms(choice, inputs) + (
+        return total_cost_ms(choice, inputs) + (
             off_home_ms if home is not choice.target else 0
         )
 
@@ -119,7 +126,9 @@
     return evolve(best, source=ring_copy_source(targets, inputs, best.target))
 
 
-def usable_in_s(targets: Iterable[Target], inputs: ChoiceInputs) -> float | None:
+def delay_until_usable_s(
+    targets: Iterable[Target], inputs: ChoiceInputs
+) -> float | None:
     """Return the seconds until a target may be usable, None if there is no target."""
     times = [
         target.usable_at(inputs.now)
--- a/berylnotch/entry/exchange.py
+++ b/berylnotch/entry/exchange.py
@@ -9,12 +9,12 @@
 
 from berylnotch.entry.admission import decide_admission
 from berylnotch.entry.attempt import Attempt
-from berylnotch.entry.choice import choose, usable_in_s
+from berylnotch.entry.choice import choose, delay_until_usable_s
 from berylnotch.entry.choice_inputs import make_choice_inputs, make_target_headers
 from berylnotch.entry.context import EntryContext
 from berylnotch.entry.crash_trail import CrashTracker
+from berylnotch.entry.migration import StoppedRun
 from berylnotch.entry.model import Choice, ChoiceInputs
-from berylnotch.entry.moving import MovedRun
 from berylnotch.entry.quota_gate import Charge
 from berylnotch.entry.records import (
     Progress,
@@ -168,7 +168,9 @@
         )
         choice = choose(self._context.targets.of(self._service_name), inputs)
         if choice is None:
-            wait_s = usable_in_s(self._context.targets.of(self._service_name), inputs)
+            wait_s = delay_until_usable_s(
+                self._context.targets.of(self._service_name), inputs
+            )
             self._give_up(
                 Reason.NO_TARGET, "no target of the service is usable", wait_s
             )
@@ -213,32 +215,32 @@
 
     # Callbacks of the attempt.
 
-    def stream_began(self, status: int, headers: object) -> None:
+    def on_stream_begin(self, status: int, headers: object) -> None:
         """Send the head of a stream, unless the caller already has one."""
         self._reply.begin_stream(status, headers)
 
-    def event(self, data: bytes, number: int | None) -> None:
+    def on_event(self, data: bytes, number: int | None) -> None:
         """Send an event to the caller, unless the caller already has it."""
         self._reply.send_event(data, number)
         if self._reply.is_congested and self._attempt is not None:
             self._attempt.pause()
 
-    def may_move(self) -> bool:
+    def can_retry_elsewhere(self) -> bool:
         """Tell whether time, limits, budget and targets allow one more attempt."""
         has_attempts = self._progress.runs + 1 < self._routed.route.max_attempts
         has_budget = self._context.budget(self._service_name).has_room(boot_time())
         has_time = self._remaining_s > MIN_RETRY_TIME_S
         return has_attempts and has_budget and has_time and self._has_other_target()
 
-    def refuge(self, without_room: Collection[str]) -> Target | None:
+    def choose_destination(self, full_engines: Collection[str]) -> Target | None:
         """Return the engine that the run should migrate to, None if it stays."""
         if self._reply.last_event is None or self._remaining_s < MIN_REST_S:
             return None
         source = self._context.targets.get(self._crash_tracker.target_id)
-        excluded = {*self._tried_targets, *without_room}
-        return self._relocation.refuge(self._service_name, source, excluded)
+        excluded = {*self._tried_targets, *full_engines}
+        return self._relocation.choose_destination(self._service_name, source, excluded)
 
-    def _continue_run(self, moved: MovedRun, target: Target) -> None:
+    def _continue_run(self, moved: StoppedRun, target: Target) -> None:
         """Send the rest of a stopped run to the engine that has its KV cache."""
         service = self._context.routes.service(self._service_name)
         if service is None or self._remaining_s <= 0:
@@ -253,17 +255,19 @@
         )
         self._send_to(service, inputs, Choice(target, 0.0))
 
-    def _on_takeover_refused(self, moved: MovedRun, result: AttemptResult) -> None:
+    def _on_takeover_refused(self, moved: StoppedRun, result: AttemptResult) -> None:
         """Resume a run at its source after a refused takeover, or retry the request."""
         refusing_target = result.target
-        if self._relocation.may_go_back(moved, self._service_name, refusing_target):
+        if self._relocation.can_resume_at_source(
+            moved, self._service_name, refusing_target
+        ):
             self._record_retry(result, f"takeover of the run failed: {result.reason}")
             self._continue_run(moved, moved.source)
             return
         self._progress.runs += 1
         self._retry(result, is_run=True)
 
-    def ended(self, result: AttemptResult) -> None:
+    def on_attempt_end(self, result: AttemptResult) -> None:
         """Complete, continue or retry the request after the end of an attempt."""
         target = result.target
         self._attempt = None
@@ -275,7 +279,7 @@
         self._crash_tracker.on_attempt_end()
         if result.end is AttemptEnd.MOVED:
             self._progress.moves += 1
-            self._continue_run(result.moved, result.moved.refuge)
+            self._continue_run(result.moved, result.moved.destination)
             return
         is_not_run = result.end in (AttemptEnd.NOT_RUN, AttemptEnd.NOT_REACHED)
         if is_not_run and moved is not None:
--- a/berylnotch/entry/patience.py
+++ b/berylnotch/entry/failover.py
@@ -18,7 +18,7 @@
 
 
 @frozen
-class Waiting:
+class PendingAnswer:
     """A request that waits for its answer or for the next event of its stream.
 
     Parameters
@@ -45,18 +45,18 @@
     target_heard_at: float
 
 
-def overdue_at(settings: EntrySettings, route: Route, waiting: Waiting) -> float:
+def failover_at(settings: EntrySettings, route: Route, pending: PendingAnswer) -> float:
     """Return the boot time from which the request should go to another target."""
-    if waiting.last_event_at:
+    if pending.last_event_at:
         stall_s = max(settings.stall_s, STALL_FACTOR * route.max_gap_s)
-        return waiting.last_event_at + stall_s
-    overdue = waiting.sent_at + settings.slow_factor * route.target_latency_s
-    if waiting.is_stream and not waiting.has_head:
+        return pending.last_event_at + stall_s
+    overdue = pending.sent_at + settings.slow_factor * route.target_latency_s
+    if pending.is_stream and not pending.has_head:
         # An engine that answers other requests or has a long prompt queue is busy, not
         # lost.
         expected_s = (
-            EXPECTED_DELAY_FACTOR * waiting.expected_s + EXPECTED_DELAY_MARGIN_S
+            EXPECTED_DELAY_FACTOR * pending.expected_s + EXPECTED_DELAY_MARGIN_S
         )
-        live_until = waiting.target_heard_at + settings.stall_s
-        overdue = max(overdue, waiting.sent_at + expected_s, live_until)
+        live_until = pending.target_heard_at + settings.stall_s
+        overdue = max(overdue, pending.sent_at + expected_s, live_until)
     return overdue
--- a/berylnotch/entry/moving.py
+++ b/berylnotch/entry/migration.py
@@ -34,21 +34,21 @@
 
 
 @frozen
-class MovedRun:
+class StoppedRun:
     """A stopped run and the copy of its KV cache from which it resumes.
 
     Parameters
     ----------
     source : Target
         Engine that executed the run and keeps its KV cache.
-    refuge : Target
+    destination : Target
         Engine that has a complete copy, or the source if there is none.
     handle : str
         Identifier of the copy.
     """
 
     source: Target
-    refuge: Target
+    destination: Target
     handle: str
 
     @property
@@ -57,7 +57,7 @@
         return run_origin(self.source.listed.address, self.handle)
 
 
-class RunMove:
+class RunMigration:
     """Migration of one run to another engine.
 
     The KV cache is copied while the run continues, so a failed copy does not disturb
@@ -85,7 +85,7 @@
         request_id: str,
         source: Target,
         destination: Target,
-        on_end: Callable[[MovedRun | None, bool], None],
+        on_end: Callable[[StoppedRun | None, bool], None],
     ) -> None:
         self._context = context
         self._request_id = request_id
@@ -95,7 +95,7 @@
         self._has_ended = False
         self._handle = ""
         self._stop_attempts = 0
-        self._moved: MovedRun | None = None
+        self._moved: StoppedRun | None = None
         #: Handles the end of a stream that ended during the migration.
         self._stream_end: Callable[[], None] | None = None
 
@@ -145,7 +145,7 @@
             self._end(None, is_sure=True, status=answer.status)
         else:
             destination = self._destination if answer.is_copied else self._source
-            self._moved = MovedRun(self._source, destination, answer.handle)
+            self._moved = StoppedRun(self._source, destination, answer.handle)
             if self._stream_end is not None:
                 self._end(self._moved, is_sure=True)
             else:
@@ -153,7 +153,7 @@
                     LAST_EVENTS_WAIT_S, lambda: self._end(self._moved, is_sure=True)
                 )
 
-    def _end(self, moved: MovedRun | None, is_sure: bool, status: int = 200) -> None:
+    def _end(self, moved: StoppedRun | None, is_sure: bool, status: int = 200) -> None:
         if self._has_ended:
             return
         self._has_ended = True
--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -41,7 +41,7 @@
 QUEUED_MS = 60.0
 
 
-class Holders:
+class PromptHoldings:
     """Cached parts of one prompt at each target, as far as the router knows.
 
     Parameters
@@ -107,17 +107,19 @@
     return (cached.ready, cached.used_at) > (other.ready, other.used_at)
 
 
-def price(target: Target, inputs: ChoiceInputs, holders: Holders) -> Choice:
+def estimate_choice(
+    target: Target, inputs: ChoiceInputs, holdings: PromptHoldings
+) -> Choice:
     """Return the expected delay at a target, and how it obtains the prompt."""
     chain, costs = inputs.chain, inputs.costs
-    held = chain.total(holders.cached_levels(target).ready_or_pending)
-    own_tokens = holders.own_tokens
+    held = chain.total(holdings.cached_levels(target).ready_or_pending)
+    own_tokens = holdings.own_tokens
     # The unread tokens of levels that the target is still reading are counted in its
     # queue already.
     delay = costs.read_ms(own_tokens, target.load)
     if held >= chain.shared_tokens:
-        return priced(target, inputs, delay, uncached_tokens=own_tokens)
-    source, levels = holders.source(target)
+        return make_choice(target, inputs, delay, uncached_tokens=own_tokens)
+    source, levels = holdings.source(target)
     copied_tokens = chain.total(levels) - held
     stored_tokens = chain.total(inputs.stored_levels(target)) - held
     if source is not None and copied_tokens > 0 and copied_tokens >= stored_tokens:
@@ -130,8 +132,8 @@
         delay += costs.store_ms(max(0, stored_tokens))
     uncached = chain.shared_tokens - cached
     delay += costs.read_ms(uncached, target.load)
-    reprocessed_tokens = max(0, holders.known_tokens(target) - cached)
-    return priced(
+    reprocessed_tokens = max(0, holdings.known_tokens(target) - cached)
+    return make_choice(
         target,
         inputs,
         delay,
@@ -155,7 +157,7 @@
     return outdated_s + latest_ms / 1000 < inputs.stale_s
 
 
-def priced(
+def make_choice(
     target: Target, inputs: ChoiceInputs, prompt_ms: float, **changes: Any
 ) -> Choice:
     """Return a choice with its expected delay and additional cost.
@@ -194,7 +196,7 @@
     return cost
 
 
-def worth_ms(choice: Choice, inputs: ChoiceInputs) -> float:
+def total_cost_ms(choice: Choice, inputs: ChoiceInputs) -> float:
     """Return the total cost of a choice in ms.
 
     It is the sum of the expected delay, the additional cost of the target, and the
--- a/berylnotch/entry/relocation.py
+++ b/berylnotch/entry/relocation.py
@@ -12,8 +12,8 @@
 
 from berylnotch.entry.choice_inputs import make_choice_inputs
 from berylnotch.entry.context import EntryContext
+from berylnotch.entry.migration import StoppedRun
 from berylnotch.entry.model import ChoiceInputs
-from berylnotch.entry.moving import MovedRun
 from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.targets import Target
 from berylnotch.util.clock import boot_time
@@ -26,7 +26,7 @@
 MAX_SLOT_FRACTION = 0.75
 
 
-def choose_refuge(
+def choose_destination(
     targets: Collection[Target], inputs: ChoiceInputs, source: Target
 ) -> Target | None:
     """Return the engine to which a run migrates, or None if it stays.
@@ -71,7 +71,7 @@
         self._context = context
         self._routed = routed
         #: The stopped run that the current attempt resumes.
-        self._moved: MovedRun | None = None
+        self._moved: StoppedRun | None = None
         #: Whether the retry budget was charged for a migration that has not begun.
         self._is_charged = False
 
@@ -80,7 +80,7 @@
         """Location of the KV cache that the current attempt resumes from, or empty."""
         return self._moved.origin if self._moved is not None else ""
 
-    def refuge(
+    def choose_destination(
         self, service_name: str, source: Target | None, excluded: Collection[str]
     ) -> Target | None:
         """Return the engine to which the run should migrate, None if it stays."""
@@ -91,23 +91,25 @@
             return None
         inputs = make_choice_inputs(self._context, self._routed, service, excluded)
         targets = self._context.targets.of(service_name)
-        destination = choose_refuge(targets, inputs, source)
+        destination = choose_destination(targets, inputs, source)
         return (
             destination
             if destination is not None and self._charge_budget(service_name)
             else None
         )
 
-    def begin(self, moved: MovedRun) -> None:
+    def begin(self, moved: StoppedRun) -> None:
         """Record the stopped run that the next attempt resumes."""
         self._moved, self._is_charged = moved, False
 
-    def end(self) -> MovedRun | None:
+    def end(self) -> StoppedRun | None:
         """Clear and return the stopped run that the ended attempt resumed."""
         moved, self._moved = self._moved, None
         return moved
 
-    def may_go_back(self, moved: MovedRun, service_name: str, refused: Target) -> bool:
+    def can_resume_at_source(
+        self, moved: StoppedRun, service_name: str, refused: Target
+    ) -> bool:
         """Return whether a run may resume at its source after a refusal elsewhere."""
         if refused is moved.source or moved.source.is_leaving:
             return False
--- a/berylnotch/entry/results.py
+++ b/berylnotch/entry/results.py
@@ -11,7 +11,7 @@
 from berylnotch.net.messages import Headers
 
 if TYPE_CHECKING:
-    from berylnotch.entry.moving import MovedRun
+    from berylnotch.entry.migration import StoppedRun
     from berylnotch.entry.targets import Target
 
 
@@ -47,29 +47,29 @@
     headers: Headers | None = None
     body: bytes = b""
     is_lost: bool = False
-    moved: MovedRun | None = None
+    moved: StoppedRun | None = None
 
 
 class AttemptOwner(Protocol):
     """Receiver of an attempt's events."""
 
-    def stream_began(self, status: int, headers: Headers) -> None:
+    def on_stream_begin(self, status: int, headers: Headers) -> None:
         """Handle the head of a stream."""
 
-    def event(self, data: bytes, number: int | None) -> None:
+    def on_event(self, data: bytes, number: int | None) -> None:
         """Handle an event of a stream."""
 
-    def may_move(self) -> bool:
+    def can_retry_elsewhere(self) -> bool:
         """Return whether the request may be sent to another target now."""
 
-    def refuge(self, without_room: Collection[str]) -> Target | None:
+    def choose_destination(self, full_engines: Collection[str]) -> Target | None:
         """Return the engine to which the run should migrate, None if it stays.
 
         Parameters
         ----------
-        without_room : collection of str
+        full_engines : collection of str
             Identities of engines that refused to take the run over.
         """
 
-    def ended(self, result: AttemptResult) -> None:
+    def on_attempt_end(self, result: AttemptResult) -> None:
         """Handle the end of the attempt."""
--- a/berylnotch/entry/early.py
+++ b/berylnotch/entry/startup_buffer.py
@@ -36,7 +36,7 @@
     request: HttpRequest
 
 
-class EarlyRequests:
+class StartupBuffer:
     """Buffers requests for a bounded time and releases them in order of arrival.
 
     Parameters
@@ -60,7 +60,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def keep(
+    def add(
         self,
         connection: ServerConnection,
         request: HttpRequest,
@@ -95,7 +95,7 @@
         self._loop.call_later(until - now, lambda: self._release(entry))
         return True
 
-    def hand_on(self) -> None:
+    def release_all(self) -> None:
         """Release all buffered requests to the request handler."""
         for entry in tuple(self._entries):
             self._release(entry)
--- a/berylnotch/entry/targets.py
+++ b/berylnotch/entry/targets.py
@@ -275,7 +275,7 @@
         target.is_leaving = target.has_announced_leaving = True
         self._close_idle(target)
 
-    def leaving_words(self) -> tuple[LeavingWord, ...]:
+    def announced_departures(self) -> tuple[LeavingWord, ...]:
         """Return the targets that announced to this router that they leave."""
         return tuple(
             LeavingWord(target.target_id, target.listed.born_ms)
@@ -283,7 +283,7 @@
             if target.has_announced_leaving
         )
 
-    def close_old(self) -> None:
+    def close_expired(self) -> None:
         """Close the connections that have been idle for too long."""
         oldest = boot_time() - self._settings.max_idle_s
         for target in self._targets.values():
--- a/tests/test_daemon/test_moving_load.py
+++ b/tests/test_daemon/test_moving_load.py
@@ -13,7 +13,7 @@
 from attrs import define, evolve, field
 
 from berylnotch.daemon.fleet import weights
-from berylnotch.entry.relocation import choose_refuge
+from berylnotch.entry.relocation import choose_destination
 from berylnotch.membership.listing import ModelVersion
 from berylnotch.net.messages import Headers, HttpResponse
 from tests.test_daemon.test_fleet_weights import Clock, make_rollout
@@ -117,7 +117,7 @@
         for engine in self.engines.values():
             while engine.target.is_emptying and engine.runs:
                 request = long_request(now=self.clock.now)
-                destination = choose_refuge(targets, request, engine.target)
+                destination = choose_destination(targets, request, engine.target)
                 if destination is None:
                     break
                 run = engine.runs.pop()
--- a/tests/test_entry/test_signals.py
+++ b/tests/test_entry/test_announcements.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from berylnotch.entry.choice import choose, usable_in_s
-from berylnotch.entry.signals import BACK_OFF_SPREAD, MAX_BACK_OFF_S
+from berylnotch.entry.announcements import BACK_OFF_SPREAD, MAX_BACK_OFF_S
+from berylnotch.entry.choice import choose, delay_until_usable_s
 from berylnotch.group.messages import LeavingWord, TargetEntry
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 from berylnotch.net.client import ResponseHead
@@ -35,7 +35,7 @@
     answer(context, status, (name, "1"))
     target = context.targets.get("e")
     assert not target.is_usable(boot_time())
-    assert context.targets.leaving_words() == (LeavingWord("e", 0),)
+    assert context.targets.announced_departures() == (LeavingWord("e", 0),)
 
 
 def test_an_announcement_counts_in_an_answer_to_another_request(context):
@@ -53,7 +53,7 @@
     answer(context, 200, ("Server-Leaving", "1"))
     context.targets.update([target_entry("e", born_ms=2000)])
     assert not context.targets.get("e").is_leaving
-    assert context.targets.leaving_words() == ()
+    assert context.targets.announced_departures() == ()
 
 
 def test_a_departure_reported_by_another_router_can_be_revoked(context):
@@ -107,7 +107,7 @@
     targets = context.targets.of("llm")
     inputs = short_request(now=boot_time(), model="model-1")
     assert choose(targets, inputs) is None
-    assert usable_in_s(targets, inputs) > 1.9
+    assert delay_until_usable_s(targets, inputs) > 1.9
 
 
 def test_a_back_off_with_another_status_is_ignored(context):
--- a/tests/test_entry/test_choice.py
+++ b/tests/test_entry/test_choice.py
@@ -12,7 +12,7 @@
 from attrs import evolve
 
 from berylnotch.entry.candidates import MAX_RING_STEPS
-from berylnotch.entry.choice import choose, usable_in_s
+from berylnotch.entry.choice import choose, delay_until_usable_s
 from berylnotch.placement.cache_model import CachedLevels, Holding
 from berylnotch.placement.ring import Ring
 from tests.test_entry.support import long_request, make_target, short_request
@@ -100,7 +100,7 @@
     inputs = short_request(excluded={excluded.target_id})
     engines = [loading, leaving, ejected, excluded, refused]
     assert choose(engines, inputs) is None
-    assert 0 < usable_in_s([refused], inputs) <= 0.5
+    assert 0 < delay_until_usable_s([refused], inputs) <= 0.5
 
 
 def test_failing_and_slow_plain_targets_get_fewer_requests():
--- a/tests/test_entry/test_moving.py
+++ b/tests/test_entry/test_migration.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from berylnotch.entry import moving
-from berylnotch.entry.moving import LAST_EVENTS_WAIT_S, RunMove
-from berylnotch.entry.relocation import MAX_SLOT_FRACTION, choose_refuge
+from berylnotch.entry import migration
+from berylnotch.entry.migration import LAST_EVENTS_WAIT_S, RunMigration
+from berylnotch.entry.relocation import MAX_SLOT_FRACTION, choose_destination
 from berylnotch.net.messages import Headers, HttpResponse
 from berylnotch.platform.moves import move_request
 from tests.test_entry.support import long_request, make_target
@@ -18,7 +18,7 @@
     """Choice of the engine to which a run migrates."""
 
     def choose(self, *targets, source=SOURCE, **changes):
-        return choose_refuge([source, *targets], long_request(**changes), source)
+        return choose_destination([source, *targets], long_request(**changes), source)
 
     def test_the_least_loaded_engine_is_chosen(self):
         busy, idle = make_target("b"), make_target("c")
@@ -44,7 +44,7 @@
         full, other = make_target("b"), make_target("c")
         other.in_flight = 9
         inputs = long_request(excluded=("b",))
-        assert choose_refuge([SOURCE, full, other], inputs, SOURCE) is other
+        assert choose_destination([SOURCE, full, other], inputs, SOURCE) is other
 
     def test_a_run_on_weights_that_are_too_old_does_not_migrate(self):
         outdated = {"outdated_s": lambda version: 9.5, "stale_s": 9.0}
@@ -93,9 +93,9 @@
     )
 
     def begin(engine, on_stream_end=None):
-        monkeypatch.setattr(moving, "fetch", engine.fetch)
+        monkeypatch.setattr(migration, "fetch", engine.fetch)
         ends = []
-        move = RunMove(
+        move = RunMigration(
             context,
             "id-1",
             SOURCE,
@@ -117,7 +117,9 @@
     _, [(moved, is_sure)] = move(engine)
     address = SOURCE.listed.address
     assert [json.loads(body)["last"] for _, _, body in engine.calls] == [False, True]
-    assert moved.refuge is DESTINATION and moved.origin == f"{address}/h2" and is_sure
+    assert (
+        moved.destination is DESTINATION and moved.origin == f"{address}/h2" and is_sure
+    )
     assert engine.freed == []
 
 
@@ -146,7 +148,7 @@
 
 def test_a_run_that_stopped_without_a_copy_resumes_at_its_engine(move):
     _, [(moved, _)] = move(Engine(COPY, (503, {"handle": "h9"})))
-    assert moved.refuge is SOURCE and moved.handle == "h9"
+    assert moved.destination is SOURCE and moved.handle == "h9"
 
 
 def test_a_copy_request_without_an_answer_does_not_disturb_the_run(move):
@@ -170,17 +172,17 @@
 def test_copies_are_freed_after_the_request_has_ended(move):
     engine = Engine(COPY, lambda: moves[0].cancel(), STOPPED)
     moves = []
-    original = RunMove.start
+    original = RunMigration.start
 
     def start(self):
         moves.append(self)
         original(self)
 
-    RunMove.start = start
+    RunMigration.start = start
     try:
         _, ends = move(engine)
     finally:
-        RunMove.start = original
+        RunMigration.start = original
     assert ends == []
     assert sorted(engine.freed) == ["/kv-handle/h1", "/kv-handle/h2"]
 
--- a/tests/test_entry/test_short_prompt_load.py
+++ b/tests/test_entry/test_short_prompt_load.py
@@ -13,7 +13,7 @@
 from attrs import define, evolve, field
 
 from berylnotch.entry.choice import choose
-from berylnotch.entry.pricing import priced, worth_ms
+from berylnotch.entry.pricing import make_choice, total_cost_ms
 from berylnotch.placement.mixing import rendezvous_weight
 from berylnotch.placement.ring import Ring
 from tests.test_entry.support import make_target, short_request
@@ -54,11 +54,13 @@
     gain_ms = 2 * inputs.costs.read_ms(inputs.chain.shared_tokens, 0)
 
     def cost_ms(choice):
-        return worth_ms(choice, inputs) - (gain_ms if choice.target is home else 0)
+        return total_cost_ms(choice, inputs) - (gain_ms if choice.target is home else 0)
 
     read_ms = inputs.costs.read_ms
     choices = [
-        priced(t, inputs, read_ms(PROMPT_TOKENS, t.load), uncached_tokens=PROMPT_TOKENS)
+        make_choice(
+            t, inputs, read_ms(PROMPT_TOKENS, t.load), uncached_tokens=PROMPT_TOKENS
+        )
         for t in drawn
     ]
     return min(choices, key=cost_ms)
--- a/tests/test_entry/test_early.py
+++ b/tests/test_entry/test_startup_buffer.py
@@ -6,8 +6,12 @@
 
 import pytest
 
-from berylnotch.entry import early
-from berylnotch.entry.early import MAX_BUFFERED, MAX_BUFFERED_FRACTION, EarlyRequests
+from berylnotch.entry import startup_buffer
+from berylnotch.entry.startup_buffer import (
+    MAX_BUFFERED,
+    MAX_BUFFERED_FRACTION,
+    StartupBuffer,
+)
 from berylnotch.net.messages import Headers, HttpRequest
 from tests.test_daemon.test_fleet_weights import Clock
 
@@ -24,7 +28,7 @@
 @pytest.fixture
 def clock(monkeypatch):
     clock = Clock()
-    monkeypatch.setattr(early, "boot_time", lambda: clock.now)
+    monkeypatch.setattr(startup_buffer, "boot_time", lambda: clock.now)
     return clock
 
 
@@ -38,20 +42,20 @@
     def answer(caller, request):
         released.append((caller.request_id, round(clock.now - 100.0, 3)))
 
-    return EarlyRequests(clock, clock.now + START_S, answer)
+    return StartupBuffer(clock, clock.now + START_S, answer)
 
 
 def send_request(requests, clock, request_id, deadline_s=15.0):
     caller = Caller(request_id)
     request = HttpRequest("POST", "/chat/x", Headers(), b"", clock.now)
-    return caller, requests.keep(caller, request, deadline_s)
+    return caller, requests.add(caller, request, deadline_s)
 
 
 def test_buffered_requests_are_released_in_order_of_arrival(requests, clock, released):
     for number in range(3):
         assert send_request(requests, clock, f"r{number}")[1]
         clock.advance(0.1)
-    requests.hand_on()
+    requests.release_all()
     assert [name for name, _ in released] == ["r0", "r1", "r2"] and len(requests) == 0
     clock.advance(5)
     assert len(released) == 3
@@ -75,7 +79,7 @@
 def test_request_of_a_disconnected_caller_is_discarded(requests, clock, released):
     caller, _ = send_request(requests, clock, "gone")
     caller.on_gone()
-    requests.hand_on()
+    requests.release_all()
     clock.advance(5)
     assert released == []
 
@@ -107,11 +111,11 @@
         caller.arrived_at = clock.now
         if is_buffering:
             request = HttpRequest("POST", "/chat/x", Headers(), b"", clock.now)
-            is_buffered = requests.keep(caller, request, 15.0)
+            is_buffered = requests.add(caller, request, 15.0)
         if not is_buffered:
             times.append(max(0.3, start + START_S - clock.now))
         clock.advance(0.02)
-    requests.hand_on()
+    requests.release_all()
     return times
 
 
