--- a/berylnotch/daemon/fleet/controller.py
+++ b/berylnotch/daemon/fleet/controller.py
@@ -18,7 +18,7 @@
     RouterReport,
 )
 from berylnotch.group.state import FleetState
-from berylnotch.membership.naming import WeightsNames
+from berylnotch.membership.announced_weights import AnnouncedWeights
 from berylnotch.net.sockets import Acceptor
 from berylnotch.quota.messages import GrantRequest
 from berylnotch.settings.fleet import FleetSettings
@@ -62,7 +62,7 @@
         self._log = log
         self._link_settings = LinkSettings()
         self._state = FleetState()
-        self._weight_versions = WeightsNames()
+        self._announced_weights = AnnouncedWeights()
         self._leader: Leader | None = None
         self._links: set[Link] = set()
         self._seekers = Seekers()
@@ -157,7 +157,7 @@
 
     def _on_applied(self) -> None:
         for named in self._state.weights:
-            self._weight_versions.note(named.name, named.version, boot_time())
+            self._announced_weights.record(named.name, named.version, boot_time())
         if self._leader is not None:
             self._leader.on_applied()
 
@@ -175,7 +175,7 @@
                 self._loop,
                 self._host,
                 self._state,
-                self._weight_versions,
+                self._announced_weights,
                 self._log,
             )
             self._leader.start()
@@ -211,7 +211,7 @@
             metrics.gauge("berylnotch_routers", float(self._leader.registry.count))
             dropped = self._leader.notes_dropped
             metrics.gauge("berylnotch_prompt_notes_dropped", float(dropped))
-            listed_at = self._leader.board.listed_at
+            listed_at = self._leader.inventory.listed_at
             if listed_at is not None:
                 age_s = boot_time() - listed_at
                 metrics.gauge("berylnotch_target_list_age_seconds", age_s)
--- a/berylnotch/daemon/fleet/leader.py
+++ b/berylnotch/daemon/fleet/leader.py
@@ -14,9 +14,9 @@
 from berylnotch.group.columns import is_store
 from berylnotch.group.messages import RouterReport, TargetEntry, TargetsUpdate
 from berylnotch.group.state import FleetState
-from berylnotch.membership.board import TargetBoard
+from berylnotch.membership.announced_weights import AnnouncedWeights
+from berylnotch.membership.inventory import TargetInventory
 from berylnotch.membership.listing import ListedTarget
-from berylnotch.membership.naming import WeightsNames
 from berylnotch.platform.configuration import decode_configuration
 from berylnotch.quota.bounds import FLEET_QUOTA, effective_limits
 from berylnotch.quota.messages import GrantRequest
@@ -79,7 +79,7 @@
         Replica that commits commands and tells whether it has the lease.
     state : FleetState
         Replicated state.
-    weight_versions : WeightsNames
+    announced_weights : AnnouncedWeights
         Versions of weights that operators named, with the times.
     log : EventLog
         Log of the process.
@@ -91,16 +91,16 @@
         loop: Loop,
         host: ReplicaHost,
         state: FleetState,
-        weight_versions: WeightsNames,
+        announced_weights: AnnouncedWeights,
         log: EventLog,
     ) -> None:
         self._settings = settings
         self._loop = loop
         self._host = host
         self._state = state
-        self._weight_versions = weight_versions
+        self._announced_weights = announced_weights
         self._log = log
-        self._board = TargetBoard()
+        self._inventory = TargetInventory()
         self._roster_pushes = Gathering(
             loop,
             lambda: self.registry.push_roster(),
@@ -139,8 +139,8 @@
         )
         self._rollout = WeightsRollout(
             loop,
-            self._board,
-            weight_versions,
+            self._inventory,
+            announced_weights,
             self._order_right,
             host.is_active,
             self.registry.requests,
@@ -171,9 +171,9 @@
         return self._note_filter.dropped
 
     @property
-    def board(self) -> TargetBoard:
+    def inventory(self) -> TargetInventory:
         """Targets of the newest list, with their loads of weights."""
-        return self._board
+        return self._inventory
 
     def start(self) -> None:
         """Start the services of the leader."""
@@ -217,11 +217,13 @@
     def on_report(self, link: Link, report: RouterReport) -> None:
         """Process a router's report."""
         self.registry.on_report(link, report)
-        if report.leaving and self._board.said_leaving(report.name, report.leaving):
+        if report.leaving and self._inventory.add_leaving_notices(
+            report.name, report.leaving
+        ):
             self._log.info(
                 "targets_said_leaving",
                 router=report.name,
-                targets=",".join(sorted(self._board.leaving_by_word())),
+                targets=",".join(sorted(self._inventory.announced_leaving())),
             )
             self.push_targets()
         if report.prompts:
@@ -235,7 +237,7 @@
         """Return the cache capacity of an engine in tokens; None for a store."""
         if is_store(holder):
             return None
-        target = self._board.target(holder)
+        target = self._inventory.target(holder)
         return (
             self._service_cache_tokens.get(target.service, 0)
             if target is not None
@@ -251,8 +253,8 @@
         self._target_pushes.soon()
 
     def _push_targets_now(self) -> None:
-        if self._board.listed_at is not None:
-            self.registry.push_targets(self._targets_update(self._board.entries()))
+        if self._inventory.listed_at is not None:
+            self.registry.push_targets(self._targets_update(self._inventory.entries()))
 
     def _push_pages(self) -> None:
         targets, self._unsent_page_targets = self._unsent_page_targets, []
@@ -260,7 +262,7 @@
         self.registry.push_pages(evolve(self._targets_update(entries), is_whole=False))
 
     def _targets_update(self, entries: tuple[TargetEntry, ...]) -> TargetsUpdate:
-        weight_versions = self._weight_versions.export(boot_time())
+        weight_versions = self._announced_weights.with_ages(boot_time())
         return TargetsUpdate(entries, weight_versions, self._store_watch.down)
 
     def _on_page(self, targets: tuple[ListedTarget, ...]) -> None:
@@ -268,18 +270,18 @@
 
         After a power loss, routers know no targets until a page arrives.
         """
-        if self._board.listed_at is None and self._host.is_active():
+        if self._inventory.listed_at is None and self._host.is_active():
             self._unsent_page_targets += targets
             self._page_pushes.soon()
 
     def _on_list(self, targets: tuple[ListedTarget, ...]) -> None:
         if self._is_closed or not self._host.is_active():
             return
-        is_first = self._board.listed_at is None
-        previous = {t.target_id: t for t in self._board.targets()}
+        is_first = self._inventory.listed_at is None
+        previous = {t.target_id: t for t in self._inventory.targets()}
         self._page_pushes.close()
-        self._board.listed(boot_time(), targets)
-        for target in self._board.targets():
+        self._inventory.replace_targets(boot_time(), targets)
+        for target in self._inventory.targets():
             old = previous.pop(target.target_id, None)
             if old is not None and old.born_ms != target.born_ms:
                 self._note_filter.forget_engine(target.target_id)
--- a/berylnotch/daemon/fleet/reports.py
+++ b/berylnotch/daemon/fleet/reports.py
@@ -96,7 +96,7 @@
                 ejected=tuple(
                     target.target_id
                     for target in context.targets.all()
-                    if target.ejection.is_out
+                    if target.ejection.is_ejected
                 ),
                 leaving=context.targets.announced_departures(),
             )
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -415,7 +415,7 @@
         metrics.gauge("berylnotch_targets_heard_seconds", targets_age_s)
         for service, budget in context.budgets_left().items():
             metrics.gauge("berylnotch_retry_budget", budget, Label("service", service))
-        for name, version in context.names.versions().items():
+        for name, version in context.announced_weights.versions().items():
             metrics.gauge(
                 "berylnotch_weights_version", float(version), Label("model", name)
             )
--- a/berylnotch/daemon/fleet/updates.py
+++ b/berylnotch/daemon/fleet/updates.py
@@ -35,7 +35,7 @@
         context.prompts.forget_engine(removed_id)
     for named in update.weights:
         named_at = now - named.age_ms / 1000
-        if context.names.note(named.model, named.version, named_at):
+        if context.announced_weights.record(named.model, named.version, named_at):
             context.log.info(
                 "weights",
                 model=named.model,
--- a/berylnotch/daemon/fleet/weights.py
+++ b/berylnotch/daemon/fleet/weights.py
@@ -9,9 +9,9 @@
 from berylnotch.daemon.fleet.order_right import OrderRight
 from berylnotch.daemon.fleet.survey import CALL_TIMEOUT_S, EngineSurvey
 from berylnotch.errors import GatewayError
-from berylnotch.membership.board import TargetBoard
+from berylnotch.membership.announced_weights import AnnouncedWeights
+from berylnotch.membership.inventory import TargetInventory
 from berylnotch.membership.listing import ListedTarget, ModelVersion
-from berylnotch.membership.naming import WeightsNames
 from berylnotch.net.fetch import fetch
 from berylnotch.net.messages import HttpRequest, HttpResponse
 from berylnotch.orders.rolling import HURRY_PART, WeightsLoad, next_loads
@@ -89,9 +89,9 @@
     ----------
     loop : Loop
         Event loop of the process.
-    board : TargetBoard
+    inventory : TargetInventory
         All targets.
-    names : WeightsNames
+    announced_weights : AnnouncedWeights
         Named versions and the times at which they were named.
     order_right : OrderRight
         Right to send orders, held by one controller at a time.
@@ -118,8 +118,8 @@
     def __init__(
         self,
         loop: Loop,
-        board: TargetBoard,
-        names: WeightsNames,
+        inventory: TargetInventory,
+        announced_weights: AnnouncedWeights,
         order_right: OrderRight,
         is_active: Callable[[], bool],
         in_flight_counts: Callable[[], dict[str, int]],
@@ -132,8 +132,8 @@
         log: EventLog,
     ) -> None:
         self._loop = loop
-        self._board = board
-        self._names = names
+        self._inventory = inventory
+        self._announced_weights = announced_weights
         self._order_right = order_right
         self._is_active = is_active
         self._in_flight_counts = in_flight_counts
@@ -163,19 +163,19 @@
         The list lags by some seconds: an engine may have loaded since, or may be
         carrying out an order of an earlier leader.
         """
-        newest_versions = self._names.versions()
+        newest_versions = self._announced_weights.versions()
         self._survey.query(
             target
-            for target in self._board.targets()
+            for target in self._inventory.targets()
             if any(m.version < newest_versions.get(m.name, 0) for m in target.models)
         )
 
     def _on_survey_report(self, target: ListedTarget, report: EngineReport) -> None:
         if self._is_closed:
             return
-        newest_versions = self._names.versions()
+        newest_versions = self._announced_weights.versions()
         for model in report.models:
-            self._board.loaded(boot_time(), target.target_id, model)
+            self._inventory.record_engine_weights(boot_time(), target.target_id, model)
         model = next((m for m in report.models if m.name in newest_versions), None)
         if report.is_busy and model is not None:
             self._adopt_load(target, model.name, newest_versions[model.name])
@@ -189,12 +189,12 @@
         planned = WeightsLoad(target.target_id, model, version)
         load = _Load(planned, target, now, ordered_at=now, is_adopted=True)
         self._loads[target.target_id] = load
-        self._board.began_loading(now, target.target_id)
+        self._inventory.mark_loading(now, target.target_id)
         self._loop.call_later(POLL_INTERVAL_S, lambda: self._poll(load))
 
     def advance(self) -> None:
         """Start the loads that are due."""
-        newest_versions = self._names.versions()
+        newest_versions = self._announced_weights.versions()
         if self._is_closed or not newest_versions or not self._is_active():
             return
         now = boot_time()
@@ -208,26 +208,28 @@
             now, self._urgent_after_s
         )
         loads = next_loads(
-            self._board.targets(),
+            self._inventory.targets(),
             newest_versions,
             self._loads.keys(),
             excluded,
             self._in_flight_counts(),
-            lambda model, version: self._names.outdated_s(now, model, version),
+            lambda model, version: self._announced_weights.outdated_s(
+                now, model, version
+            ),
             self._urgent_after_s,
         )
         if loads and not self._order_right.is_held:
             self._order_right.ask()
             return
         for planned in loads:
-            target = self._board.target(planned.target_id)
+            target = self._inventory.target(planned.target_id)
             load = _Load(planned, target, now)
             self._loads[planned.target_id] = load
             self._order_right.began()
             if not self._long_requests(planned.target_id):
                 self._start_loading(load)
             else:
-                self._board.began_emptying(planned.target_id)
+                self._inventory.mark_emptying(planned.target_id)
                 self._loop.call_later(
                     EMPTYING_REPORT_DELAY_S,
                     lambda load=load: self._wait_until_empty(load),
@@ -238,14 +240,14 @@
                 model=planned.model,
                 version=planned.version,
                 was=_version(target, planned.model),
-                list_age_s=now - (self._board.listed_at or now),
+                list_age_s=now - (self._inventory.listed_at or now),
             )
         if loads:
             self._on_change()
 
     def _start_loading(self, load: _Load) -> None:
         """Take an engine out of routing and schedule its order."""
-        self._board.began_loading(boot_time(), load.planned.target_id)
+        self._inventory.mark_loading(boot_time(), load.planned.target_id)
         self._loop.call_later(ORDER_DELAY_S, lambda: self._request_report(load))
         self._on_change()
 
@@ -268,9 +270,10 @@
         """Return the targets whose weights are outdated for more than ``after_s``."""
         return frozenset(
             target.target_id
-            for target in self._board.targets()
+            for target in self._inventory.targets()
             for model in target.models
-            if self._names.outdated_s(now, model.name, model.version) > after_s
+            if self._announced_weights.outdated_s(now, model.name, model.version)
+            > after_s
         )
 
     def _call(
@@ -432,7 +435,9 @@
         for model in report.models:
             if model.name == load.planned.model:
                 version = ModelVersion(model.name, model.version)
-                self._board.loaded(boot_time(), load.planned.target_id, version)
+                self._inventory.record_engine_weights(
+                    boot_time(), load.planned.target_id, version
+                )
         self._end_load(load, "", 0.0)
 
     def _end_load(self, load: _Load, reason: str, backoff_s: float) -> None:
@@ -441,7 +446,7 @@
         if not load.is_adopted:
             self._order_right.ended()
         self._loads.pop(target_id, None)
-        self._board.stopped_loading(target_id)
+        self._inventory.mark_serving(target_id)
         if backoff_s:
             self._backoff_until[target_id] = now + backoff_s
         self._log.info(
@@ -458,7 +463,7 @@
         """Whether a load is over; ends it if its target is gone or was restarted."""
         if self._is_closed or load.has_ended:
             return True
-        current = self._board.target(load.planned.target_id)
+        current = self._inventory.target(load.planned.target_id)
         if current is None or current.born_ms != load.target.born_ms:
             self._end_load(load, "target was removed or restarted", 0.0)
             return True
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -114,7 +114,7 @@
         target.long_in_flight += self._is_long
         self._reading.begin()
         self._sent_at = boot_time()
-        target.ejection.sent(self._sent_at, self._attempt_id)
+        target.ejection.on_sent(self._sent_at, self._attempt_id)
         self._connection.send(request, self)
         self._check_overdue()
 
@@ -139,10 +139,10 @@
         if self._has_ended:
             return
         if is_overdue and self._head is None:
-            self._target.ejection.failed(boot_time(), self._attempt_id)
+            self._target.ejection.on_failure(boot_time(), self._attempt_id)
             self._target.note_outcome(has_failed=True)
         else:
-            self._target.ejection.abandoned(self._attempt_id)
+            self._target.ejection.on_abandoned(self._attempt_id)
         self._count_result("overdue" if is_overdue else "cancelled")
         if self._migration is not None:
             self._migration.cancel()
@@ -271,9 +271,9 @@
             )
             return
         if status < 500:
-            target.ejection.succeeded(self._attempt_id, self._sent_at)
+            target.ejection.on_success(self._attempt_id, self._sent_at)
         else:
-            target.ejection.abandoned(self._attempt_id)
+            target.ejection.on_abandoned(self._attempt_id)
         target.note_outcome(status >= 500, boot_time() - self._sent_at)
         self._count_result(f"status-{status // 100}xx")
         self._owner.on_attempt_end(
@@ -295,7 +295,7 @@
             return
         self._release_target()
         target, now = self._target, boot_time()
-        target.ejection.failed(now, self._attempt_id)
+        target.ejection.on_failure(now, self._attempt_id)
         target.note_outcome(has_failed=True)
         if failure is Failure.NOT_SENT:
             # No process listens there any more, and its prefix cache is lost.
@@ -339,7 +339,7 @@
     def _on_migration_end(self, moved: StoppedRun | None, is_sure: bool) -> None:
         migration, self._migration = self._migration, None
         if moved is not None:
-            self._target.ejection.succeeded(self._attempt_id, self._sent_at)
+            self._target.ejection.on_success(self._attempt_id, self._sent_at)
             self._release_target()
             self._connection.close()
             self._report_end(AttemptEnd.MOVED, "", moved=moved)
@@ -351,7 +351,7 @@
     def _on_refusal(self, status: int) -> None:
         """Back off from a target that refused the request without running it."""
         target = self._target
-        target.ejection.abandoned(self._attempt_id)
+        target.ejection.on_abandoned(self._attempt_id)
         pause_s = (
             FULL_TARGET_BACKOFF_S if status in (503, 429) else MISDIRECTED_BACKOFF_S
         )
@@ -366,7 +366,7 @@
         self._report_end(AttemptEnd.NOT_RUN, f"refused with {status}")
 
     def _on_stream_complete(self) -> None:
-        self._target.ejection.succeeded(self._attempt_id, self._sent_at)
+        self._target.ejection.on_success(self._attempt_id, self._sent_at)
         self._target.note_outcome(has_failed=False)
         self._owner.on_stream_begin(200, forwarded_headers(self._head))
         if self._splitter.tail:
--- a/berylnotch/entry/candidates.py
+++ b/berylnotch/entry/candidates.py
@@ -110,7 +110,7 @@
     for target in _ring_order(targets, inputs):
         if target is receiver or target.version(inputs.model) != version:
             continue
-        is_unavailable = target.is_suspect or target.ejection.blocks(inputs.now)
+        is_unavailable = target.is_suspect or target.ejection.is_blocked(inputs.now)
         if is_unavailable or target.is_loading or target.is_leaving:
             continue
         if inputs.now - target.weights_at > RECENT_LOAD_S:
--- a/berylnotch/entry/choice_inputs.py
+++ b/berylnotch/entry/choice_inputs.py
@@ -37,7 +37,11 @@
     excluded : collection of str
         Identities of targets that must not be chosen.
     """
-    caller, weights_names, settings = routed.caller, context.names, context.settings
+    caller, announced_weights, settings = (
+        routed.caller,
+        context.announced_weights,
+        context.settings,
+    )
     now = boot_time()
     model = caller.model if service.engine is not None else ""
     chain, prompts, targets = caller.chain, context.prompts, context.targets
@@ -68,8 +72,8 @@
     return ChoiceInputs(
         now=now,
         model=model,
-        wanted_version=weights_names.newest(model),
-        outdated_s=lambda version: weights_names.outdated_s(now, model, version),
+        wanted_version=announced_weights.newest(model),
+        outdated_s=lambda version: announced_weights.outdated_s(now, model, version),
         fresh_s=settings.fresh_weights_s,
         stale_s=context.fleet.bounds.weights_s - settings.weights_margin_s,
         target_latency_s=routed.route.target_latency_s,
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -13,9 +13,9 @@
 from berylnotch.entry.settings import EntrySettings
 from berylnotch.entry.targets import Target, TargetTable
 from berylnotch.group.messages import CrashMark
+from berylnotch.membership.announced_weights import AnnouncedWeights
 from berylnotch.membership.crashes import CrashGuard
 from berylnotch.membership.marks import SharedLosses
-from berylnotch.membership.naming import WeightsNames
 from berylnotch.placement.cache_model import CacheModel
 from berylnotch.placement.costs import (
     DEFAULT_COPY_PER_MS,
@@ -71,7 +71,7 @@
         Target losses for the next report to the leader.
     routes : RouteTable or None
         Configuration in force, None before the first configuration arrives.
-    names : WeightsNames
+    announced_weights : AnnouncedWeights
         Named versions of weights.
     down_stores : frozenset of str
         Addresses of the stores that cannot be reached.
@@ -103,7 +103,7 @@
     losses: SharedLosses = field(factory=SharedLosses)
     crash_marks: list[CrashMark] = field(factory=list)
     routes: RouteTable | None = None
-    names: WeightsNames = field(factory=WeightsNames)
+    announced_weights: AnnouncedWeights = field(factory=AnnouncedWeights)
     down_stores: frozenset[str] = frozenset()
     router_count: int = 1
     is_roster_known: bool = False
@@ -145,7 +145,9 @@
     def record_target_loss(self, target_id: str, fingerprint: bytes) -> None:
         """Record that a target was lost while it ran a request."""
         now = boot_time()
-        verdict = self.crashes.lost(now, target_id, (fingerprint,), self.losses)
+        verdict = self.crashes.on_target_lost(
+            now, target_id, (fingerprint,), self.losses
+        )
         for reported in verdict.reported:
             self.crash_marks.append(CrashMark(reported, target_id))
         for blamed in verdict.blamed:
--- a/berylnotch/entry/crash_trail.py
+++ b/berylnotch/entry/crash_trail.py
@@ -4,7 +4,7 @@
 
 from berylnotch.entry.context import EntryContext
 from berylnotch.entry.routed_request import RoutedRequest
-from berylnotch.membership.crashes import light_fingerprint
+from berylnotch.membership.crashes import checksum_fingerprint
 from berylnotch.util.clock import boot_time
 
 
@@ -24,7 +24,7 @@
     def __init__(self, context: EntryContext, routed: RoutedRequest) -> None:
         self._context = context
         request = routed.request
-        self._fingerprint = light_fingerprint(
+        self._fingerprint = checksum_fingerprint(
             routed.organisation_name, request.target.encode() + b"\0" + request.body
         )
         self._target_id = ""
@@ -45,7 +45,7 @@
     def on_sent(self, target_id: str) -> None:
         """Record that the request is sent to a target."""
         self._target_id = target_id
-        self._context.crashes.began(self._fingerprint, target_id)
+        self._context.crashes.on_request_started(self._fingerprint, target_id)
 
     def on_target_lost(self, target_id: str) -> None:
         """Record that a target was lost while it ran the request."""
@@ -53,10 +53,10 @@
 
     def on_completed(self) -> None:
         """Record that the request completed without the loss of its target."""
-        self._context.crashes.completed(self._fingerprint, boot_time())
+        self._context.crashes.on_request_completed(self._fingerprint, boot_time())
 
     def on_attempt_end(self) -> None:
         """Record that no target runs the request any more."""
         if self._target_id:
-            self._context.crashes.ended(self._fingerprint, self._target_id)
+            self._context.crashes.on_request_ended(self._fingerprint, self._target_id)
             self._target_id = ""
--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -89,7 +89,7 @@
         self._known_levels[version] = max(
             self._known_levels.get(version, 0), cached.ready_or_pending
         )
-        if target.is_loading or target.ejection.blocks(self._inputs.now):
+        if target.is_loading or target.ejection.is_blocked(self._inputs.now):
             return
         best = self._sources.get(version)
         if cached.ready and (
--- a/berylnotch/entry/targets.py
+++ b/berylnotch/entry/targets.py
@@ -128,7 +128,7 @@
 
     def is_avoided(self, now: float) -> bool:
         """Return whether it is suspect and this router is not about to probe it."""
-        is_prober = self.ejection.is_out and not self.ejection.blocks(now)
+        is_prober = self.ejection.is_ejected and not self.ejection.is_blocked(now)
         return self.is_suspect and not is_prober
 
     def usable_at(self, now: float) -> float:
@@ -136,15 +136,15 @@
         times = [now, self.refused_until]
         if self.is_loading:
             times.append(self.loading_until)
-        if self.ejection.blocks(now):
-            times.append(self.ejection.until)
+        if self.ejection.is_blocked(now):
+            times.append(self.ejection.probe_allowed_at)
         return max(times)
 
     def is_usable(self, now: float) -> bool:
         """Return whether it may get a new request."""
         if self.is_leaving or self.is_loading or now < self.refused_until:
             return False
-        return not self.ejection.blocks(now)
+        return not self.ejection.is_blocked(now)
 
 
 class TargetTable:
--- a/berylnotch/group/messages.py
+++ b/berylnotch/group/messages.py
@@ -5,8 +5,8 @@
 from attrs import frozen
 
 from berylnotch.consensus import messages as consensus
+from berylnotch.membership.announced_weights import NamedWeights
 from berylnotch.membership.listing import ListedTarget
-from berylnotch.membership.naming import NamedWeights
 from berylnotch.quota.messages import GrantReply, GrantRequest
 from berylnotch.transport.packing import message_classes
 
--- a/berylnotch/membership/naming.py
+++ b/berylnotch/membership/announced_weights.py
@@ -21,7 +21,7 @@
     age_ms: int
 
 
-class WeightsNames:
+class AnnouncedWeights:
     """Announced versions of each model, with the time of each announcement.
 
     Times are in seconds, on any one clock.
@@ -38,7 +38,7 @@
         """Return the newest announced version of each model."""
         return {model: max(times) for model, times in self._announced_at.items()}
 
-    def note(self, model: str, version: int, announced_at: float) -> bool:
+    def record(self, model: str, version: int, announced_at: float) -> bool:
         """Record an announced version; return whether it is newer than all others.
 
         The earliest time counts if a version is recorded several times.
@@ -59,7 +59,7 @@
         ]
         return now - min(newer_times) if newer_times else 0.0
 
-    def export(self, now: float) -> tuple[NamedWeights, ...]:
+    def with_ages(self, now: float) -> tuple[NamedWeights, ...]:
         """Return all kept versions with their ages."""
         return tuple(
             NamedWeights(model, version, int((now - announced_at) * 1000))
--- a/berylnotch/membership/crashes.py
+++ b/berylnotch/membership/crashes.py
@@ -35,7 +35,7 @@
     return digest.digest()[:FINGERPRINT_BYTES]
 
 
-def light_fingerprint(organisation: str, body: bytes) -> bytes:
+def checksum_fingerprint(organisation: str, body: bytes) -> bytes:
     """Return a fingerprint of two checksums and the length of a request.
 
     It makes accidental collisions unlikely, not deliberate ones. A caller who
@@ -105,12 +105,12 @@
     def __len__(self) -> int:
         return len(self._suspicions) + len(self._cleared)
 
-    def began(self, request: bytes, target: str) -> None:
+    def on_request_started(self, request: bytes, target: str) -> None:
         """Record that a target runs a request."""
         running = self._running.setdefault(target, {})
         running[request] = running.get(request, 0) + 1
 
-    def ended(self, request: bytes, target: str) -> None:
+    def on_request_ended(self, request: bytes, target: str) -> None:
         """Record that a target no longer runs a request."""
         running = self._running.get(target, {})
         remaining = running.get(request, 0) - 1
@@ -121,7 +121,7 @@
         if not running:
             self._running.pop(target, None)
 
-    def completed(self, request: bytes, now: float = 0.0) -> None:
+    def on_request_completed(self, request: bytes, now: float = 0.0) -> None:
         """Clear a request that a target ran to its end."""
         if self._suspicions.pop(request, None) is None:
             return
@@ -129,7 +129,7 @@
         while len(self._cleared) > self._settings.max_suspicions:
             self._cleared.popitem(last=False)
 
-    def lost(
+    def on_target_lost(
         self,
         now: float,
         target: str,
@@ -175,7 +175,7 @@
         reported = running - suspects if is_ambiguous else running
         return Verdict(tuple(sorted(reported | set(blamed))), blamed)
 
-    def avoid(self, now: float, request: bytes) -> frozenset[str]:
+    def targets_to_avoid(self, now: float, request: bytes) -> frozenset[str]:
         """Return the targets that run another suspect.
 
         The result is empty if the request is not a suspect itself. If no other target
--- a/berylnotch/membership/ejection.py
+++ b/berylnotch/membership/ejection.py
@@ -26,7 +26,7 @@
         Number of consecutive failures.
     ejected_at : float
         Start of the latest ejection in seconds.
-    until : float
+    probe_allowed_at : float
         Time in seconds from which the target may be probed.
     duration_s : float
         Length of the latest ejection in seconds, 0 if the target is not ejected.
@@ -37,48 +37,52 @@
     settings: MembershipSettings
     failures: int = 0
     ejected_at: float = 0.0
-    until: float = 0.0
+    probe_allowed_at: float = 0.0
     duration_s: float = 0.0
     probe_number: int = 0
 
     @property
-    def is_out(self) -> bool:
+    def is_ejected(self) -> bool:
         """Whether the target was ejected and no probe has succeeded since."""
         return self.duration_s > 0.0
 
-    def blocks(self, now: float) -> bool:
+    def is_blocked(self, now: float) -> bool:
         """Tell whether the target must not get a request now."""
-        return self.is_out and (now < self.until or self.probe_number != 0)
+        return self.is_ejected and (
+            now < self.probe_allowed_at or self.probe_number != 0
+        )
 
-    def sent(self, now: float, number: int) -> None:
+    def on_sent(self, now: float, number: int) -> None:
         """Record a sent request; the first one after the ejection time is the probe."""
-        if self.is_out and now >= self.until and not self.probe_number:
+        if self.is_ejected and now >= self.probe_allowed_at and not self.probe_number:
             self.probe_number = number
 
-    def succeeded(self, number: int, sent_at: float) -> None:
+    def on_success(self, number: int, sent_at: float) -> None:
         """Reset the failures, unless the request was sent before the ejection.
 
         Such a request does not show that the target has recovered.
         """
-        if self.is_out and sent_at < self.ejected_at:
+        if self.is_ejected and sent_at < self.ejected_at:
             return
         self.clear()
 
-    def failed(self, now: float, number: int) -> None:
+    def on_failure(self, now: float, number: int) -> None:
         """Count a failure, and eject the target if it is due or a probe failed."""
         self.failures += 1
         is_probe = self.probe_number == number
         if is_probe:
             self.probe_number = 0
-        is_ejection_due = not self.is_out and self.failures >= self.settings.eject_after
+        is_ejection_due = (
+            not self.is_ejected and self.failures >= self.settings.eject_after
+        )
         if not (is_probe or is_ejection_due):
             return
         next_duration_s = 2.0 * self.duration_s or self.settings.eject_s
         self.duration_s = min(next_duration_s, self.settings.eject_max_s)
         self.ejected_at = now
-        self.until = now + self.duration_s
+        self.probe_allowed_at = now + self.duration_s
 
-    def abandoned(self, number: int) -> None:
+    def on_abandoned(self, number: int) -> None:
         """Record the end of a request that is neither a success nor a failure."""
         if self.probe_number == number:
             self.probe_number = 0
--- a/berylnotch/membership/board.py
+++ b/berylnotch/membership/inventory.py
@@ -35,7 +35,7 @@
     born_ms: int
 
 
-class TargetBoard:
+class TargetInventory:
     """Targets by identity, with the weights loads in progress."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
 
     def entries(self) -> tuple[TargetEntry, ...]:
         """Return all targets in the form that routers get."""
-        leaving = self.leaving_by_word()
+        leaving = self.announced_leaving()
         return tuple(
             TargetEntry(
                 evolve(target, is_leaving=True)
@@ -75,7 +75,9 @@
             for target in self.targets()
         )
 
-    def said_leaving(self, router: str, notices: Collection[LeavingWord]) -> bool:
+    def add_leaving_notices(
+        self, router: str, notices: Collection[LeavingWord]
+    ) -> bool:
         """Store the leaving notices that a router got from targets.
 
         Returns
@@ -83,13 +85,13 @@
         bool
             Whether the set of leaving targets changed.
         """
-        before = self.leaving_by_word()
+        before = self.announced_leaving()
         for notice in notices:
             if self._is_current(notice):
                 self._leaving_reports.setdefault(notice, set()).add(router)
-        return self.leaving_by_word() != before
+        return self.announced_leaving() != before
 
-    def leaving_by_word(self) -> frozenset[str]:
+    def announced_leaving(self) -> frozenset[str]:
         """Return the targets that announced that they leave.
 
         The state in the target list does not count.
@@ -114,7 +116,7 @@
         """Return a target, or None if it is not listed."""
         return self._targets.get(target_id)
 
-    def listed(self, now: float, targets: tuple[ListedTarget, ...]) -> None:
+    def replace_targets(self, now: float, targets: tuple[ListedTarget, ...]) -> None:
         """Replace all targets by those of a complete target list."""
         self._listed_at = now
         self._targets = {
@@ -129,21 +131,23 @@
             if not self._is_current(notice):
                 del self._leaving_reports[notice]
 
-    def began_emptying(self, target_id: str) -> None:
+    def mark_emptying(self, target_id: str) -> None:
         """Stop long requests to a target, because it loads weights next."""
         self._emptying.add(target_id)
 
-    def began_loading(self, now: float, target_id: str) -> None:
+    def mark_loading(self, now: float, target_id: str) -> None:
         """Mark a target as loading weights."""
         self._emptying.discard(target_id)
         self._loading[target_id] = now
 
-    def stopped_loading(self, target_id: str) -> None:
+    def mark_serving(self, target_id: str) -> None:
         """Mark a target as serving again, with old or new weights."""
         self._emptying.discard(target_id)
         self._loading.pop(target_id, None)
 
-    def loaded(self, now: float, target_id: str, version: ModelVersion) -> None:
+    def record_engine_weights(
+        self, now: float, target_id: str, version: ModelVersion
+    ) -> None:
         """Store the weights that an engine reports; unlisted targets are ignored."""
         target = self._targets.get(target_id)
         if target is None:
--- a/berylnotch/membership/targets.py
+++ b/berylnotch/membership/targets.py
@@ -90,7 +90,7 @@
         dispatch = Dispatch(target, self._last_number, now, work_s)
         record.dispatches[dispatch.number] = dispatch
         record.awaiting_first_token[dispatch.number] = dispatch
-        record.ejection.sent(now, dispatch.number)
+        record.ejection.on_sent(now, dispatch.number)
         return dispatch
 
     def first_token(self, dispatch: Dispatch) -> None:
@@ -106,10 +106,10 @@
         if record.dispatches.pop(dispatch.number, None) is None:
             return
         if ok:
-            record.ejection.succeeded(dispatch.number, dispatch.sent_at)
+            record.ejection.on_success(dispatch.number, dispatch.sent_at)
         else:
-            record.ejection.failed(now, dispatch.number)
-            if record.ejection.is_out:
+            record.ejection.on_failure(now, dispatch.number)
+            if record.ejection.is_ejected:
                 self._ejected_targets.add(dispatch.target)
 
     def abandon(self, dispatch: Dispatch) -> None:
@@ -120,7 +120,7 @@
         record = self._get_record(dispatch.target)
         record.awaiting_first_token.pop(dispatch.number, None)
         record.dispatches.pop(dispatch.number, None)
-        record.ejection.abandoned(dispatch.number)
+        record.ejection.on_abandoned(dispatch.number)
 
     def observe(self, target: str, incarnation: str, leaving: bool = False) -> bool:
         """Process a signal from a target itself, such as the headers of an answer.
@@ -228,11 +228,13 @@
         if not self._ejected_targets:
             return frozenset()
         self._ejected_targets = {
-            n for n in self._ejected_targets if records[n].ejection.is_out
+            n for n in self._ejected_targets if records[n].ejection.is_ejected
+        }
+        blocked = {
+            n for n in self._ejected_targets if records[n].ejection.is_blocked(now)
         }
-        blocked = {n for n in self._ejected_targets if records[n].ejection.blocks(now)}
         ejected = [name for name in names if name in blocked]
-        ejected.sort(key=lambda name: -records[name].ejection.until)
+        ejected.sort(key=lambda name: -records[name].ejection.probe_allowed_at)
         max_ejected = int(len(names) * self._settings.max_ejected_fraction)
         return frozenset(ejected[:max_ejected])
 
--- a/berylnotch/server/attempts.py
+++ b/berylnotch/server/attempts.py
@@ -82,7 +82,7 @@
     def choose(self, job: Job, action: StartAttempt) -> Choice | None:
         """Choose a target, or return None if none can take the attempt."""
         now = time.monotonic()
-        apart = self._context.guard.avoid(now, job.fingerprint)
+        apart = self._context.guard.targets_to_avoid(now, job.fingerprint)
         ranked = self._rank(now, job, action, action.exclude | apart)
         if not ranked and apart:
             # Suspects run apart if they can, but none is given up for it.
--- a/berylnotch/server/judging.py
+++ b/berylnotch/server/judging.py
@@ -83,16 +83,16 @@
         )
         if action.cause in _LOSSES:
             self._suspect(job, action, now)
-        self._context.guard.ended(job.fingerprint, action.target)
+        self._context.guard.on_request_ended(job.fingerprint, action.target)
 
     def finished(self, job: Job, action: Finish, now: float) -> None:
         """Take the end of a job."""
         attempt = job.attempt
         if attempt is None:
             return
-        self._context.guard.ended(job.fingerprint, attempt.target)
+        self._context.guard.on_request_ended(job.fingerprint, attempt.target)
         if action.reason is FinishReason.COMPLETE:
-            self._context.guard.completed(job.fingerprint, now)
+            self._context.guard.on_request_completed(job.fingerprint, now)
             self._context.health.finish(now, attempt.dispatch, True)
         else:
             self._context.health.abandon(attempt.dispatch)
@@ -102,7 +102,7 @@
 
     def _suspect(self, job: Job, action: AttemptFailed, now: float) -> None:
         guard, shared = self._context.guard, self._context.shared_losses
-        verdict = guard.lost(now, action.target, (job.fingerprint,), shared)
+        verdict = guard.on_target_lost(now, action.target, (job.fingerprint,), shared)
         head = job.attempt.head
         incarnation = head.incarnation if head is not None else ""
         for fingerprint in verdict.reported:
--- a/berylnotch/server/runner.py
+++ b/berylnotch/server/runner.py
@@ -187,7 +187,7 @@
             return job.exchange.no_target(now, action.number, str(error))
         name = choice.target.name
         dispatch = self._context.health.begin(now, name, choice.work_s)
-        self._context.guard.began(job.fingerprint, name)
+        self._context.guard.on_request_started(job.fingerprint, name)
         self._attempts.sent(job, choice)
         attempt = Attempt(action.number, name, dispatch)
         job.attempt = attempt
--- a/tests/test_daemon/test_fleet_weights.py
+++ b/tests/test_daemon/test_fleet_weights.py
@@ -10,9 +10,9 @@
     OVERDUE_SHARE,
     WeightsRollout,
 )
-from berylnotch.membership.board import TargetBoard
+from berylnotch.membership.announced_weights import AnnouncedWeights
+from berylnotch.membership.inventory import TargetInventory
 from berylnotch.membership.listing import ListedTarget, ModelVersion
-from berylnotch.membership.naming import WeightsNames
 
 WEIGHTS_LIMIT_S = 15.0
 
@@ -75,20 +75,20 @@
 
 
 def make_rollout(clock, long_requests, named_at=100.0):
-    board, names = TargetBoard(), WeightsNames()
+    inventory, announced_weights = TargetInventory(), AnnouncedWeights()
     models = (ModelVersion("m", 1),)
-    board.listed(
+    inventory.replace_targets(
         clock.now,
         tuple(
             ListedTarget(f"e{n}", "llm", f"10.0.0.{n}:1", "d", models=models)
             for n in range(5)
         ),
     )
-    names.note("m", 2, named_at)
+    announced_weights.record("m", 2, named_at)
     rollout = WeightsRollout(
         clock,
-        board,
-        names,
+        inventory,
+        announced_weights,
         HeldOrderRight(),
         lambda: True,
         dict,
@@ -100,60 +100,60 @@
         lambda: None,
         Log(),
     )
-    return rollout, board
+    return rollout, inventory
 
 
-def loading_states(board):
+def loading_states(inventory):
     return {
         entry.target.target_id: "loading" if entry.is_loading else "emptying"
-        for entry in board.entries()
+        for entry in inventory.entries()
         if entry.is_loading or entry.is_emptying
     }
 
 
 def test_engine_without_long_requests_loads_immediately(clock, requests):
-    rollout, board = make_rollout(clock, {})
+    rollout, inventory = make_rollout(clock, {})
     rollout.advance()
-    assert loading_states(board) == {"e0": "loading", "e1": "loading"}
+    assert loading_states(inventory) == {"e0": "loading", "e1": "loading"}
     clock.advance(0.1)
     assert {address for address, _, _ in requests} == {"10.0.0.0:1", "10.0.0.1:1"}
 
 
 def test_engine_with_long_requests_is_emptied_before_it_loads(clock, requests):
     long_requests = {"e0": 2}
-    rollout, board = make_rollout(clock, long_requests)
+    rollout, inventory = make_rollout(clock, long_requests)
     rollout.advance()
-    assert loading_states(board) == {"e0": "emptying", "e1": "loading"}
+    assert loading_states(inventory) == {"e0": "emptying", "e1": "loading"}
     clock.advance(1.0)
-    assert loading_states(board)["e0"] == "emptying"
+    assert loading_states(inventory)["e0"] == "emptying"
     long_requests["e0"] = 0
     clock.advance(0.1)
-    assert loading_states(board)["e0"] == "loading"
+    assert loading_states(inventory)["e0"] == "loading"
 
 
 def test_emptying_time_is_bounded(clock, requests):
-    rollout, board = make_rollout(clock, {"e0": 2})
+    rollout, inventory = make_rollout(clock, {"e0": 2})
     rollout.advance()
     clock.advance(MAX_EMPTYING_S + 0.2)
-    assert loading_states(board)["e0"] == "loading"
+    assert loading_states(inventory)["e0"] == "loading"
 
 
 def test_overdue_weights_shorten_the_emptying_time(clock, requests):
     named_at = clock.now - OVERDUE_SHARE * WEIGHTS_LIMIT_S - 0.1
-    rollout, board = make_rollout(clock, {"e0": 2}, named_at)
+    rollout, inventory = make_rollout(clock, {"e0": 2}, named_at)
     rollout.advance()
-    assert loading_states(board)["e0"] == "emptying"
+    assert loading_states(inventory)["e0"] == "emptying"
     clock.advance(MAX_EMPTYING_OVERDUE_S + 2 * EMPTYING_CHECK_INTERVAL_S)
-    assert loading_states(board)["e0"] == "loading"
+    assert loading_states(inventory)["e0"] == "loading"
 
 
 def test_weights_overdue_during_emptying_are_loaded_then(clock, requests):
     overdue_at = clock.now + 1.0
-    rollout, board = make_rollout(
+    rollout, inventory = make_rollout(
         clock, {"e0": 2}, named_at=overdue_at - OVERDUE_SHARE * WEIGHTS_LIMIT_S
     )
     rollout.advance()
     clock.advance(1.0)
-    assert loading_states(board)["e0"] == "emptying"
+    assert loading_states(inventory)["e0"] == "emptying"
     clock.advance(2 * EMPTYING_CHECK_INTERVAL_S)
-    assert loading_states(board)["e0"] == "loading"
+    assert loading_states(inventory)["e0"] == "loading"
--- a/tests/test_daemon/test_moving_load.py
+++ b/tests/test_daemon/test_moving_load.py
@@ -72,8 +72,8 @@
         self.engines = {f"e{n}": Engine(make_target(f"e{n}")) for n in range(5)}
         long_requests = {}
         self.long_requests = long_requests
-        self.rollout, self.board = make_rollout(clock, long_requests, clock.now + 2)
-        id_by_address = {t.address: t.target_id for t in self.board.targets()}
+        self.rollout, self.inventory = make_rollout(clock, long_requests, clock.now + 2)
+        id_by_address = {t.address: t.target_id for t in self.inventory.targets()}
 
         def fetch(_loop, address, request, _seconds, done):
             response = self.engines[id_by_address[str(address)]].respond(request)
@@ -101,7 +101,7 @@
         return self
 
     def apply_board(self):
-        for entry in self.board.entries():
+        for entry in self.inventory.entries():
             name = entry.target.target_id
             engine, target = self.engines[name], self.engines[name].target
             target.is_emptying, target.is_loading = entry.is_emptying, entry.is_loading
--- a/tests/test_entry/test_choice.py
+++ b/tests/test_entry/test_choice.py
@@ -95,7 +95,7 @@
     loading.is_loading = True
     leaving.is_leaving = True
     for number in range(2):
-        ejected.ejection.failed(99.9, number)
+        ejected.ejection.on_failure(99.9, number)
     refused.refused_until = 100.5
     inputs = short_request(excluded={excluded.target_id})
     engines = [loading, leaving, ejected, excluded, refused]
@@ -123,7 +123,7 @@
     assert choose([suspect, other], inputs).target is other
     assert choose([suspect], inputs).target is suspect
     for number in range(2):
-        suspect.ejection.failed(90.0, number)
+        suspect.ejection.on_failure(90.0, number)
     assert choose([suspect, other], inputs).target is suspect
 
 
--- a/tests/test_server/test_attempts.py
+++ b/tests/test_server/test_attempts.py
@@ -65,9 +65,9 @@
 def test_suspect_is_not_given_up_if_others_run_everywhere(context):
     jobs = [make_job(bytes([i])) for i in range(3)]
     now = time.monotonic()
-    context.guard.lost(now, "desk-2", [job.fingerprint for job in jobs])
+    context.guard.on_target_lost(now, "desk-2", [job.fingerprint for job in jobs])
     for job, name in zip(jobs, NAMES, strict=False):
-        context.guard.began(job.fingerprint, name)
+        context.guard.on_request_started(job.fingerprint, name)
     action = SimpleNamespace(exclude=frozenset({"desk-2"}), weights="")
-    assert context.guard.avoid(now, jobs[2].fingerprint) == set(NAMES)
+    assert context.guard.targets_to_avoid(now, jobs[2].fingerprint) == set(NAMES)
     assert Attempts(context).choose(jobs[2], action) is not None
--- a/tests/test_transport/test_packing.py
+++ b/tests/test_transport/test_packing.py
@@ -18,8 +18,8 @@
     TargetLoad,
     TargetsUpdate,
 )
+from berylnotch.membership.announced_weights import NamedWeights
 from berylnotch.membership.listing import ListedTarget, ModelVersion
-from berylnotch.membership.naming import NamedWeights
 from berylnotch.transport.codec import encode
 from berylnotch.transport.packing import MAX_PACKED_BYTES, pack, unpack
 from berylnotch.transport.plain import PlainSession
