--- a/berylnotch/daemon/fleet/controller.py
+++ b/berylnotch/daemon/fleet/controller.py
@@ -10,7 +10,7 @@
 from berylnotch.daemon.fleet.operators import OperatorsInterface
 from berylnotch.daemon.fleet.peers import PeerLinks
 from berylnotch.daemon.fleet.replica_host import ReplicaHost
-from berylnotch.daemon.fleet.seekers import Seekers
+from berylnotch.daemon.fleet.waiting_routers import WaitingRouters
 from berylnotch.group.messages import (
     CONTROLLER_MESSAGES,
     JoinRequest,
@@ -65,7 +65,7 @@
         self._announced_weights = AnnouncedWeights()
         self._leader: Leader | None = None
         self._links: set[Link] = set()
-        self._seekers = Seekers()
+        self._waiting_routers = WaitingRouters()
         self._peers = PeerLinks(
             loop, CONTROLLER_MESSAGES, self._receive, log, self._link_settings
         )
@@ -117,7 +117,7 @@
 
     def _on_link_closed(self, link: Link, reason: str) -> None:
         self._links.discard(link)
-        self._seekers.lost(link)
+        self._waiting_routers.remove(link)
         if self._leader is not None:
             self._leader.registry.on_link_closed(link, reason)
 
@@ -134,7 +134,7 @@
             if self._is_leader_known():
                 self._answer_report(link, message)
             else:
-                self._seekers.add(link, message, boot_time())
+                self._waiting_routers.add(link, message, boot_time())
         elif isinstance(message, GrantRequest):
             if self._leader is not None and self._host.is_active():
                 self._leader.answer_grant_request(link, message)
@@ -163,7 +163,9 @@
 
     def _poll_leadership(self) -> None:
         self._check_leadership()
-        for link, report in self._seekers.take(boot_time(), self._is_leader_known()):
+        for link, report in self._waiting_routers.pop_due(
+            boot_time(), self._is_leader_known()
+        ):
             self._answer_report(link, report)
 
     def _check_leadership(self) -> None:
--- a/berylnotch/daemon/fleet/leader.py
+++ b/berylnotch/daemon/fleet/leader.py
@@ -5,11 +5,11 @@
 from attrs import evolve
 
 from berylnotch.daemon.fleet.notes import NoteFilter
-from berylnotch.daemon.fleet.order_right import OrderRight
+from berylnotch.daemon.fleet.order_lease import OrderLease
 from berylnotch.daemon.fleet.registry import RouterRegistry
 from berylnotch.daemon.fleet.replica_host import ReplicaHost
-from berylnotch.daemon.fleet.stores import StoreWatch
-from berylnotch.daemon.fleet.watch import TargetWatch
+from berylnotch.daemon.fleet.stores import StoreMonitor
+from berylnotch.daemon.fleet.watch import TargetListReader
 from berylnotch.daemon.fleet.weights import WeightsRollout
 from berylnotch.group.columns import is_store
 from berylnotch.group.messages import RouterReport, TargetEntry, TargetsUpdate
@@ -24,7 +24,7 @@
 from berylnotch.settings.fleet import FleetSettings
 from berylnotch.transport.link import Link
 from berylnotch.util.clock import boot_time
-from berylnotch.util.gathering import Gathering
+from berylnotch.util.coalesced_action import CoalescedAction
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
@@ -101,21 +101,21 @@
         self._announced_weights = announced_weights
         self._log = log
         self._inventory = TargetInventory()
-        self._roster_pushes = Gathering(
+        self._roster_pushes = CoalescedAction(
             loop,
             lambda: self.registry.push_roster(),
             lambda: ROSTER_PER_ROUTER_S * self.registry.count,
         )
-        self.registry = RouterRegistry(state, log, self._roster_pushes.soon)
-        self._prompt_pushes = Gathering(
+        self.registry = RouterRegistry(state, log, self._roster_pushes.schedule)
+        self._prompt_pushes = CoalescedAction(
             loop,
             self._push_notes,
             lambda: max(MIN_PROMPTS_S, PROMPTS_PER_ROUTER_S * self.registry.count),
         )
-        self._target_pushes = Gathering(
+        self._target_pushes = CoalescedAction(
             loop, self._push_targets_now, lambda: TARGETS_BATCH_S
         )
-        self._page_pushes = Gathering(
+        self._page_pushes = CoalescedAction(
             loop,
             self._push_pages,
             lambda: max(TARGETS_BATCH_S, PAGES_PER_ROUTER_S * self.registry.count),
@@ -128,7 +128,7 @@
         self._limits = {}
         self._limits_version = 0
         self._is_closed = False
-        self._order_right = OrderRight(
+        self._order_lease = OrderLease(
             settings,
             loop,
             state,
@@ -141,7 +141,7 @@
             loop,
             self._inventory,
             announced_weights,
-            self._order_right,
+            self._order_lease,
             host.is_active,
             self.registry.requests,
             self.registry.long_requests,
@@ -152,10 +152,10 @@
             self.push_targets,
             log,
         )
-        self._store_watch = StoreWatch(loop, self.push_targets, log)
-        self._target_watch: TargetWatch | None = None
+        self._store_monitor = StoreMonitor(loop, self.push_targets, log)
+        self._target_list_reader: TargetListReader | None = None
         if settings.target_list is not None:
-            self._target_watch = TargetWatch(
+            self._target_list_reader = TargetListReader(
                 loop,
                 settings.target_list,
                 settings.target_list_period_s,
@@ -177,8 +177,8 @@
 
     def start(self) -> None:
         """Start the services of the leader."""
-        if self._target_watch is not None:
-            self._target_watch.start()
+        if self._target_list_reader is not None:
+            self._target_list_reader.start()
         self._loop.call_later(ROSTER_DELAY_S, self._complete_roster)
         self._loop.call_later(MIN_LOADS_S, self._push_loads)
 
@@ -189,11 +189,11 @@
         self._prompt_pushes.close()
         self._target_pushes.close()
         self._page_pushes.close()
-        self._order_right.close()
+        self._order_lease.close()
         self._rollout.close()
-        self._store_watch.close()
-        if self._target_watch is not None:
-            self._target_watch.close()
+        self._store_monitor.close()
+        if self._target_list_reader is not None:
+            self._target_list_reader.close()
 
     def on_applied(self) -> None:
         """Derive limits and updates from the newly applied state."""
@@ -209,7 +209,7 @@
                 if s.engine
             }
             stores = {s.store_address for s in configuration.services}
-            self._store_watch.watch(stores - {""})
+            self._store_monitor.watch(stores - {""})
         self.registry.push_configuration()
         self.push_targets()
         self._rollout.advance()
@@ -227,7 +227,7 @@
             )
             self.push_targets()
         if report.prompts:
-            self._prompt_pushes.soon()
+            self._prompt_pushes.schedule()
 
     def _push_notes(self) -> None:
         notes = self.registry.take_notes()
@@ -250,7 +250,7 @@
 
     def push_targets(self) -> None:
         """Send changed targets to the routers with the next batch."""
-        self._target_pushes.soon()
+        self._target_pushes.schedule()
 
     def _push_targets_now(self) -> None:
         if self._inventory.listed_at is not None:
@@ -263,7 +263,7 @@
 
     def _targets_update(self, entries: tuple[TargetEntry, ...]) -> TargetsUpdate:
         weight_versions = self._announced_weights.with_ages(boot_time())
-        return TargetsUpdate(entries, weight_versions, self._store_watch.down)
+        return TargetsUpdate(entries, weight_versions, self._store_monitor.down)
 
     def _on_page(self, targets: tuple[ListedTarget, ...]) -> None:
         """Forward a page of the first target list that this leader reads.
@@ -272,7 +272,7 @@
         """
         if self._inventory.listed_at is None and self._host.is_active():
             self._unsent_page_targets += targets
-            self._page_pushes.soon()
+            self._page_pushes.schedule()
 
     def _on_list(self, targets: tuple[ListedTarget, ...]) -> None:
         if self._is_closed or not self._host.is_active():
--- a/berylnotch/daemon/fleet/group_keeper.py
+++ b/berylnotch/daemon/fleet/membership_manager.py
@@ -15,7 +15,7 @@
 from berylnotch.util.lines import EventLog
 
 
-class GroupKeeper:
+class MembershipManager:
     """Changes the group's members on the leader, and requests to join elsewhere.
 
     Parameters
--- a/berylnotch/daemon/fleet/order_right.py
+++ b/berylnotch/daemon/fleet/order_lease.py
@@ -22,7 +22,7 @@
 Propose = Callable[[bytes, Callable[[bool], None]], None]
 
 
-class OrderRight:
+class OrderLease:
     """Acquires the order lease when orders are due, and releases it after idle time.
 
     A new leader waits until no order of the controller that holds the lease can still
@@ -99,11 +99,11 @@
         else:
             self._acquire()
 
-    def began(self) -> None:
+    def on_load_started(self) -> None:
         """Record that an order may be sent from now on."""
         self._orders_running += 1
 
-    def ended(self) -> None:
+    def on_load_ended(self) -> None:
         """Record that the operation of an order has ended, so it is not running."""
         self._orders_running -= 1
         self._restart_idle_timer()
--- a/berylnotch/daemon/fleet/registry.py
+++ b/berylnotch/daemon/fleet/registry.py
@@ -136,7 +136,7 @@
         if not changed:
             return
         self._target_numbers.add(entries)
-        page = pack(self._target_numbers.told(evolve(update, targets=changed)))
+        page = pack(self._target_numbers.with_numbers(evolve(update, targets=changed)))
         # Packed once: hundreds of routers may connect while a long list is being read.
         self._first_pages.append(page)
         self._send_packed(page)
@@ -151,11 +151,11 @@
         change = self._target_table.replace(entries)
         self._target_numbers.keep(entries)
         if previous is None:
-            self._send_all(self._target_numbers.told(update))
+            self._send_all(self._target_numbers.with_numbers(update))
         elif change is not None or not _has_same_rest(previous, update):
             entries, gone = (change.entries, change.gone) if change else ((), ())
             part = evolve(update, targets=entries, gone=gone, is_whole=False)
-            self._send_all(self._target_numbers.told(part))
+            self._send_all(self._target_numbers.with_numbers(part))
 
     def complete_roster(self) -> None:
         """Start to send rosters, after all routers had time to report."""
@@ -244,7 +244,9 @@
             router.link.send(page)
         if self._targets is not None:
             if not self._packed_targets:
-                self._packed_targets = pack(self._target_numbers.told(self._targets))
+                self._packed_targets = pack(
+                    self._target_numbers.with_numbers(self._targets)
+                )
             router.link.send(self._packed_targets)
         router.link.send(load_columns(self._load_sums, self._target_numbers))
         if self._is_roster_complete:
--- a/berylnotch/daemon/fleet/replica_host.py
+++ b/berylnotch/daemon/fleet/replica_host.py
@@ -14,7 +14,7 @@
 from berylnotch.consensus.replica import Replica
 from berylnotch.consensus.settings import ConsensusSettings
 from berylnotch.consensus.storage import LogStorage
-from berylnotch.daemon.fleet.group_keeper import GroupKeeper
+from berylnotch.daemon.fleet.membership_manager import MembershipManager
 from berylnotch.errors import ConsensusError, StorageError
 from berylnotch.group.messages import JoinRequest, Redirect
 from berylnotch.group.state import FleetState
@@ -94,7 +94,7 @@
         on_applied: Callable[[], None],
     ) -> None:
         self._settings = settings
-        self._group_keeper = GroupKeeper(settings, seeds, send, log)
+        self._membership_manager = MembershipManager(settings, seeds, send, log)
         self._loop = loop
         self._send = send
         self._state = state
@@ -125,7 +125,7 @@
     @property
     def known_addresses(self) -> tuple[str, ...]:
         """Addresses of all controllers known to this one."""
-        return self._group_keeper.known_addresses(self._replica)
+        return self._membership_manager.known_addresses(self._replica)
 
     @property
     def voter_count(self) -> int:
@@ -193,12 +193,12 @@
         """Record a join request; return whether this replica can serve it."""
         if not self.is_active():
             return False
-        self._group_keeper.join(request)
+        self._membership_manager.join(request)
         return True
 
     def learn(self, redirect: Redirect) -> None:
         """Record the controller addresses from the redirect of a non-leader."""
-        self._group_keeper.learn(redirect)
+        self._membership_manager.learn(redirect)
 
     # Storage.
 
@@ -312,7 +312,7 @@
         replica.tick(boot_time())
         self._schedule_processing()
         if replica.leader:
-            self._group_keeper.heard_leader()
+            self._membership_manager.heard_leader()
         if replica.leader != self._logged_leader:
             self._logged_leader = replica.leader
             self._log.info(
@@ -330,8 +330,8 @@
         if self._replica is None or self._is_closed:
             return
         if not self.is_active():
-            self._group_keeper.ask_to_join(self._replica)
-        elif self._group_keeper.change_members(self._replica):
+            self._membership_manager.ask_to_join(self._replica)
+        elif self._membership_manager.change_members(self._replica):
             self._schedule_processing()
 
 
--- a/berylnotch/daemon/fleet/reports.py
+++ b/berylnotch/daemon/fleet/reports.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from berylnotch.entry.context import EntryContext
-from berylnotch.group.columns import echo
+from berylnotch.group.columns import note_key
 from berylnotch.group.messages import RouterReport, TargetLoad
-from berylnotch.util.gathering import Gathering
+from berylnotch.util.coalesced_action import CoalescedAction
 
 #: Report interval per router of the fleet, in seconds. The interval of a large fleet
 #: grows with it, so that the leader receives at most about 250 reports a second.
@@ -48,7 +48,7 @@
         self._is_leaving = is_leaving
         self._send = send
         self._sent_loads: tuple[TargetLoad, ...] = ()
-        self._urgent_report = Gathering(
+        self._urgent_report = CoalescedAction(
             context.loop, self.send, lambda: URGENT_REPORT_DELAY_S
         )
 
@@ -61,13 +61,13 @@
         """Start the periodic reports."""
         self._context.loop.call_later(REPORT_S, self._send_periodically)
 
-    def soon(self) -> None:
+    def schedule(self) -> None:
         """Schedule a report before the interval ends."""
-        self._urgent_report.soon()
+        self._urgent_report.schedule()
 
     def send(self) -> None:
         """Send a report now, in place of a scheduled urgent one."""
-        self._urgent_report.done()
+        self._urgent_report.cancel()
         context = self._context
         self._sent_loads = tuple(
             TargetLoad(
@@ -81,7 +81,7 @@
         )
         crashes, context.crash_marks = context.crash_marks, []
         notes = context.prompts.take_notes()
-        context.own_notes.extend(map(echo, notes))
+        context.own_note_keys.extend(map(note_key, notes))
         self._send(
             RouterReport(
                 context.fleet.name,
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -52,7 +52,7 @@
 from berylnotch.settings.fleet import FleetSettings
 from berylnotch.transport.link import LinkSettings
 from berylnotch.util.clock import boot_time
-from berylnotch.util.gathering import Gathering
+from berylnotch.util.coalesced_action import CoalescedAction
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 from berylnotch.util.metrics import Label, Metrics
@@ -117,7 +117,7 @@
         self.metrics = Metrics()
         entry_settings = EntrySettings()
         gate = QuotaGate(LocalQuota(FLEET_QUOTA), entry_settings.quota_wait_s)
-        self._quota_checks = Gathering(loop, self._check_quota, lambda: 0.0)
+        self._quota_checks = CoalescedAction(loop, self._check_quota, lambda: 0.0)
         self._context = EntryContext(
             settings=entry_settings,
             fleet=settings,
@@ -128,7 +128,7 @@
             gate=gate,
             prompts=CacheModel(),
             crashes=CrashGuard(entry_settings.membership),
-            ask_quota=self._quota_checks.soon,
+            ask_quota=self._quota_checks.schedule,
         )
         self._started_at = boot_time()
         self._startup_buffer = StartupBuffer(
@@ -155,7 +155,7 @@
             lambda: not self.is_ready,
             self._leader_link.send,
         )
-        self._context.report_soon = self._reports.soon
+        self._context.schedule_report = self._reports.schedule
         self._caller_server = HttpServer(
             loop,
             settings.listen,
@@ -340,7 +340,7 @@
             self._apply_configuration(message)
         elif isinstance(message, TargetsUpdate):
             self._targets_received_at = boot_time()
-            self._numbered_targets.take(message)
+            self._numbered_targets.store_numbers(message)
             apply_targets(self._context, message)
             self._release_early_requests()
         elif isinstance(message, RosterUpdate):
--- a/berylnotch/daemon/fleet/stores.py
+++ b/berylnotch/daemon/fleet/stores.py
@@ -38,7 +38,7 @@
     is_down: bool = False
 
 
-class StoreWatch:
+class StoreMonitor:
     """Polls each store with one long poll at a time.
 
     Parameters
--- a/berylnotch/daemon/fleet/updates.py
+++ b/berylnotch/daemon/fleet/updates.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from berylnotch.entry.context import EntryContext
-from berylnotch.group.columns import echo, is_store
+from berylnotch.group.columns import is_store, note_key
 from berylnotch.group.messages import (
     CrashMark,
     LoadsUpdate,
@@ -13,7 +13,7 @@
     TargetLoad,
     TargetsUpdate,
 )
-from berylnotch.quota.bounds import FLEET_QUOTA, HELD_PART, effective_limits
+from berylnotch.quota.bounds import FLEET_QUOTA, HELD_SHARE, effective_limits
 from berylnotch.util.clock import boot_time
 
 #: Interval between two requests for tokens in advance per router of the fleet, in
@@ -78,7 +78,7 @@
     """
     now = boot_time()
     for note in notes:
-        if echo(note) in context.own_notes:
+        if note_key(note) in context.own_note_keys:
             continue
         target = context.targets.get(note.holder)
         if target is not None and not note.is_ready:
@@ -107,7 +107,7 @@
     organisations = context.routes.configuration.organisations or ()
     limits = effective_limits(organisations, context.fleet.bounds)
     quota = context.gate.quota
-    share = HELD_PART / context.router_count
+    share = HELD_SHARE / context.router_count
     interval_s = max(
         FLEET_QUOTA.ask_interval_s, GRANT_REQUEST_PER_ROUTER_S * context.router_count
     )
--- a/berylnotch/daemon/fleet/seekers.py
+++ b/berylnotch/daemon/fleet/waiting_routers.py
@@ -21,7 +21,7 @@
     expires_at: float
 
 
-class Seekers:
+class WaitingRouters:
     """Links of the routers that reported while no leader was known.
 
     If hundreds of routers were redirected immediately, each would connect again ten
@@ -37,11 +37,11 @@
         expires_at = earlier.expires_at if earlier is not None else now + MAX_WAIT_S
         self._waiting[link] = _WaitingRouter(report, expires_at)
 
-    def lost(self, link: Link) -> None:
+    def remove(self, link: Link) -> None:
         """Remove a link that was closed."""
         self._waiting.pop(link, None)
 
-    def take(
+    def pop_due(
         self, now: float, is_leader_known: bool
     ) -> list[tuple[Link, RouterReport]]:
         """Remove and return the routers to answer.
--- a/berylnotch/daemon/fleet/watch.py
+++ b/berylnotch/daemon/fleet/watch.py
@@ -41,7 +41,7 @@
 MAX_PAGES = 200
 
 
-class TargetWatch:
+class TargetListReader:
     """Reads the whole target list periodically.
 
     Parameters
--- a/berylnotch/daemon/fleet/weights.py
+++ b/berylnotch/daemon/fleet/weights.py
@@ -6,7 +6,7 @@
 
 from attrs import define
 
-from berylnotch.daemon.fleet.order_right import OrderRight
+from berylnotch.daemon.fleet.order_lease import OrderLease
 from berylnotch.daemon.fleet.survey import CALL_TIMEOUT_S, EngineSurvey
 from berylnotch.errors import GatewayError
 from berylnotch.membership.announced_weights import AnnouncedWeights
@@ -14,7 +14,7 @@
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 from berylnotch.net.fetch import fetch
 from berylnotch.net.messages import HttpRequest, HttpResponse
-from berylnotch.orders.rolling import HURRY_PART, WeightsLoad, next_loads
+from berylnotch.orders.rolling import URGENT_SHARE, WeightsLoad, next_loads
 from berylnotch.platform.targets import (
     EngineReport,
     WeightsOrder,
@@ -93,7 +93,7 @@
         All targets.
     announced_weights : AnnouncedWeights
         Named versions and the times at which they were named.
-    order_right : OrderRight
+    order_lease : OrderLease
         Right to send orders, held by one controller at a time.
     is_active : callable
         Returns whether this process holds the leader lease at the current time.
@@ -120,7 +120,7 @@
         loop: Loop,
         inventory: TargetInventory,
         announced_weights: AnnouncedWeights,
-        order_right: OrderRight,
+        order_lease: OrderLease,
         is_active: Callable[[], bool],
         in_flight_counts: Callable[[], dict[str, int]],
         long_requests: Callable[[str], int],
@@ -134,14 +134,14 @@
         self._loop = loop
         self._inventory = inventory
         self._announced_weights = announced_weights
-        self._order_right = order_right
+        self._order_lease = order_lease
         self._is_active = is_active
         self._in_flight_counts = in_flight_counts
         self._long_requests = long_requests
         self._unreachable = unreachable
         self._holder = holder
         self._epoch = epoch
-        self._urgent_after_s = HURRY_PART * weights_s
+        self._urgent_after_s = URGENT_SHARE * weights_s
         self._overdue_after_s = OVERDUE_SHARE * weights_s
         #: Shortest time in seconds from an order to the end of its load.
         self._min_load_s: float | None = None
@@ -218,14 +218,14 @@
             ),
             self._urgent_after_s,
         )
-        if loads and not self._order_right.is_held:
-            self._order_right.ask()
+        if loads and not self._order_lease.is_held:
+            self._order_lease.ask()
             return
         for planned in loads:
             target = self._inventory.target(planned.target_id)
             load = _Load(planned, target, now)
             self._loads[planned.target_id] = load
-            self._order_right.began()
+            self._order_lease.on_load_started()
             if not self._long_requests(planned.target_id):
                 self._start_loading(load)
             else:
@@ -308,7 +308,7 @@
         elif report.is_busy:
             load.ordered_at = boot_time()
             self._loop.call_later(POLL_INTERVAL_S, lambda: self._poll(load))
-        elif not self._order_right.is_held or not self._is_active():
+        elif not self._order_lease.is_held or not self._is_active():
             self._end_load(
                 load,
                 "this leader does not hold the right to send orders",
@@ -444,7 +444,7 @@
         target_id, now = load.planned.target_id, boot_time()
         load.has_ended = True
         if not load.is_adopted:
-            self._order_right.ended()
+            self._order_lease.on_load_ended()
         self._loads.pop(target_id, None)
         self._inventory.mark_serving(target_id)
         if backoff_s:
--- a/berylnotch/entry/announcements.py
+++ b/berylnotch/entry/announcements.py
@@ -35,7 +35,7 @@
     """
     if answer.is_leaving and not target.has_announced_leaving:
         context.targets.leaves(target)
-        context.report_soon()
+        context.schedule_report()
         context.metrics.count("berylnotch_targets_said_leaving_total")
         context.log.info(
             "target_leaves",
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -390,7 +390,7 @@
         self._target.in_flight -= 1
         self._target.long_in_flight -= self._is_long
         if self._target.is_emptying and not self._target.long_in_flight:
-            self._context.report_soon()
+            self._context.schedule_report()
         self._reading.close()
 
     def _report_end(
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -84,9 +84,9 @@
         set by the newest updates.
     ask_quota : callable
         Schedules a request for tokens to the quota owner.
-    report_soon : callable
+    schedule_report : callable
         Schedules the next report to the leader earlier than its regular time.
-    own_notes : deque of tuple
+    own_note_keys : deque of tuple
         Identifying fields of this router's newest prompt notes. The leader sends the
         notes back to their author as well, and the router skips these copies.
     """
@@ -109,8 +109,8 @@
     is_roster_known: bool = False
     loaded_targets: set[str] = field(factory=set)
     ask_quota: Callable[[], None] = lambda: None
-    report_soon: Callable[[], None] = lambda: None
-    own_notes: deque[tuple] = field(factory=lambda: deque(maxlen=MAX_OWN_NOTES))
+    schedule_report: Callable[[], None] = lambda: None
+    own_note_keys: deque[tuple] = field(factory=lambda: deque(maxlen=MAX_OWN_NOTES))
     _budgets: dict[str, WindowBudget] = field(factory=dict)
     _meters: dict[str, CostMeter] = field(factory=dict)
 
--- a/berylnotch/entry/reading.py
+++ b/berylnotch/entry/reading.py
@@ -60,7 +60,7 @@
             return
         if self._note_prompt(is_ready=False):
             # Until other routers receive this note, they choose the same engine.
-            self._context.report_soon()
+            self._context.schedule_report()
 
     def done(self, sent_at: float) -> None:
         """Record that the target has read the prompt; later calls do nothing.
--- a/berylnotch/group/columns.py
+++ b/berylnotch/group/columns.py
@@ -84,7 +84,7 @@
         number = self._numbers.get(target_id)
         return number if number is None or number < _FIRST_STORE_NUMBER else None
 
-    def told(self, update: TargetsUpdate) -> TargetsUpdate:
+    def with_numbers(self, update: TargetsUpdate) -> TargetsUpdate:
         """Return an update with the numbers of its targets."""
         numbers = tuple(self._numbers[e.target.target_id] for e in update.targets)
         return evolve(update, numbering=self.numbering, numbers=numbers)
@@ -97,7 +97,7 @@
         self._numbering = NO_NUMBERING
         self._names: dict[int, str] = {}
 
-    def take(self, update: TargetsUpdate) -> None:
+    def store_numbers(self, update: TargetsUpdate) -> None:
         """Store the numbers of an update's targets.
 
         Earlier numbers are discarded if the numbering changed or the update is whole.
@@ -183,7 +183,7 @@
     return NoteRecords(numbers.numbering, bytes(records), tuple(stores))
 
 
-def echo(note: PromptNote) -> tuple[int, str, bool, int]:
+def note_key(note: PromptNote) -> tuple[int, str, bool, int]:
     """Return the key by which a router recognises its own note from the leader.
 
     Own tokens are no part of the key, since the leader may add the own tokens of notes
--- a/berylnotch/orders/rolling.py
+++ b/berylnotch/orders/rolling.py
@@ -27,7 +27,7 @@
 
 #: Fraction of the time that operators allow on older weights after which an engine
 #: loads regardless of its load; the rest of that time is for the loads themselves.
-HURRY_PART = 0.4
+URGENT_SHARE = 0.4
 
 
 @frozen
--- a/berylnotch/quota/bounds.py
+++ b/berylnotch/quota/bounds.py
@@ -16,7 +16,7 @@
 
 #: Part of an organisation's burst that the routers may hold for use to come, so
 #: that they serve on while there is no owner.
-HELD_PART = 0.45
+HELD_SHARE = 0.45
 
 #: Part of the burst that a new owner lends at once, instead of waiting for earlier
 #: grants to end: the rest that `LENT_PART` leaves.
--- a/berylnotch/util/gathering.py
+++ b/berylnotch/util/coalesced_action.py
@@ -7,7 +7,7 @@
 from berylnotch.util.loop import Loop, Timer
 
 
-class Gathering:
+class CoalescedAction:
     """An action that is due some time after the first call for it.
 
     Parameters
@@ -32,13 +32,13 @@
         self._timer: Timer | None = None
         self._is_closed = False
 
-    def soon(self) -> None:
+    def schedule(self) -> None:
         """Let the action run at the end of the pause."""
         if self._timer is None and not self._is_closed:
             self._timer = self._loop.call_later(self._pause_s(), self._run)
 
-    def done(self) -> None:
-        """Note that the action was done otherwise; calls so far need no other."""
+    def cancel(self) -> None:
+        """Cancel the scheduled run, because the action was done otherwise."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -46,7 +46,7 @@
     def close(self) -> None:
         """Run the action no more."""
         self._is_closed = True
-        self.done()
+        self.cancel()
 
     def _run(self) -> None:
         self._timer = None
--- a/tests/test_daemon/test_fleet_updates.py
+++ b/tests/test_daemon/test_fleet_updates.py
@@ -13,7 +13,7 @@
 )
 from berylnotch.entry.settings import EntrySettings
 from berylnotch.entry.targets import TargetTable
-from berylnotch.group.columns import echo
+from berylnotch.group.columns import note_key
 from berylnotch.group.messages import LoadsUpdate, PromptNote, TargetEntry, TargetLoad
 from berylnotch.membership.listing import ListedTarget
 from berylnotch.placement.cache_model import CacheModel
@@ -32,7 +32,7 @@
     return SimpleNamespace(
         targets=targets,
         loaded_targets=set(),
-        own_notes=deque(),
+        own_note_keys=deque(),
         prompts=CacheModel(),
         cache_tokens=lambda target: 150_000,
     )
@@ -70,7 +70,7 @@
 
 def test_prompt_note_counts_until_the_next_load_sums(context):
     own_note = _note("b")
-    context.own_notes.append(echo(own_note))
+    context.own_note_keys.append(note_key(own_note))
     notes = (_note("a"), own_note, _note("c", is_ready=True, unread=0), _note("x"))
     apply_prompt_notes(context, notes)
     assert _others_in_flight(context) == {"a": 1, "b": 0, "c": 0}
--- /dev/null
+++ b/tests/test_daemon/test_fleet_waiting_routers.py
@@ -0,0 +1,30 @@
+"""Tests of the routers that wait at a controller without a known leader."""
+
+from berylnotch.daemon.fleet.waiting_routers import MAX_WAIT_S, WaitingRouters
+from tests.test_daemon.test_fleet_registry import Link, report
+
+
+def test_all_routers_are_answered_once_a_leader_is_known():
+    waiting_routers, links = WaitingRouters(), [Link() for _ in range(300)]
+    for number, link in enumerate(links):
+        waiting_routers.add(link, report(f"r{number}"), 10.0)
+    assert waiting_routers.pop_due(10.1, False) == []
+    answered = waiting_routers.pop_due(10.2, True)
+    assert [link for link, _ in answered] == links
+    assert answered[7][1].name == "r7"
+    assert waiting_routers.pop_due(10.3, True) == []
+
+
+def test_later_reports_do_not_extend_the_wait_without_a_leader():
+    waiting_routers, link = WaitingRouters(), Link()
+    waiting_routers.add(link, report(version=1), 10.0)
+    waiting_routers.add(link, report(version=2), 10.0 + MAX_WAIT_S / 2)
+    ((answered, newest_report),) = waiting_routers.pop_due(10.0 + MAX_WAIT_S, False)
+    assert answered is link and newest_report.configuration_version == 2
+
+
+def test_closed_link_is_not_answered():
+    waiting_routers, link = WaitingRouters(), Link()
+    waiting_routers.add(link, report(), 10.0)
+    waiting_routers.remove(link)
+    assert waiting_routers.pop_due(20.0, True) == []
--- a/tests/test_daemon/test_fleet_watch.py
+++ b/tests/test_daemon/test_fleet_watch.py
@@ -9,7 +9,7 @@
     MAX_PAGE_ATTEMPTS,
     PAUSE_INCREASE_FACTOR,
     RATE_SHARE,
-    TargetWatch,
+    TargetListReader,
 )
 from berylnotch.net.messages import Headers, HttpResponse
 from berylnotch.util.address import Address
@@ -59,7 +59,7 @@
         requests.append((request.target, on_done))
 
     monkeypatch.setattr(watch_module, "fetch", fetch)
-    watch = TargetWatch(
+    watch = TargetListReader(
         timers,
         Address("10.9.9.9", 1),
         PERIOD_S,
--- a/tests/test_daemon/test_fleet_weights.py
+++ b/tests/test_daemon/test_fleet_weights.py
@@ -41,10 +41,10 @@
 
     is_held = True
 
-    def began(self):
+    def on_load_started(self):
         """Ignore the start of a load."""
 
-    ended = began
+    on_load_ended = on_load_started
 
 
 class Log:
--- a/tests/test_daemon/test_order_right.py
+++ b/tests/test_daemon/test_order_lease.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from berylnotch.daemon.fleet import order_right
-from berylnotch.daemon.fleet.order_right import OrderRight
+from berylnotch.daemon.fleet import order_lease
+from berylnotch.daemon.fleet.order_lease import OrderLease
 from berylnotch.group.state import FleetState
 from tests.test_daemon.test_fleet_weights import Clock, Log
 
@@ -15,7 +15,7 @@
 @pytest.fixture
 def clock(monkeypatch):
     clock = Clock()
-    monkeypatch.setattr(order_right, "boot_time", lambda: clock.now)
+    monkeypatch.setattr(order_lease, "boot_time", lambda: clock.now)
     return clock
 
 
@@ -38,7 +38,7 @@
         settings = SimpleNamespace(
             name=name, bounds=SimpleNamespace(order_lease_s=LEASE_S)
         )
-        right = OrderRight(
+        lease = OrderLease(
             settings,
             self.clock,
             self.state,
@@ -47,7 +47,7 @@
             lambda: acquired.append(self.clock.now),
             Log(),
         )
-        return right, acquired
+        return lease, acquired
 
 
 @pytest.fixture
@@ -56,16 +56,16 @@
 
 
 def test_first_leader_acquires_the_lease_at_once(group, clock):
-    right, acquired = group.lead("c1")
-    right.ask()
-    assert acquired == [clock.now] and right.is_held
+    lease, acquired = group.lead("c1")
+    lease.ask()
+    assert acquired == [clock.now] and lease.is_held
     assert group.state.order_holder == "c1"
 
 
 def test_new_leader_waits_for_the_orders_of_its_predecessor(group, clock):
     first, _ = group.lead("c1")
     first.ask()
-    first.began()
+    first.on_load_started()
     first.close()
     began_at = clock.now
     second, acquired = group.lead("c2")
@@ -89,9 +89,9 @@
 def test_lease_is_released_after_idle_time_and_needs_no_wait(group, clock):
     first, _ = group.lead("c1")
     first.ask()
-    first.began()
+    first.on_load_started()
     clock.advance(10)
-    first.ended()
+    first.on_load_ended()
     ended_at = clock.now
     clock.advance(LEASE_S)
     assert first.is_held
@@ -104,23 +104,23 @@
 
 
 def test_released_lease_is_acquired_again_before_the_next_order(group, clock):
-    right, acquired = group.lead("c1")
-    right.ask()
+    lease, acquired = group.lead("c1")
+    lease.ask()
     clock.advance(LEASE_S + 1)
-    assert not right.is_held
-    right.ask()
-    assert right.is_held and len(acquired) == 2
+    assert not lease.is_held
+    lease.ask()
+    assert lease.is_held and len(acquired) == 2
     assert group.state.order_holder == "c1"
 
 
 def test_each_order_restarts_the_idle_time(group, clock):
-    right, _ = group.lead("c1")
-    right.ask()
+    lease, _ = group.lead("c1")
+    lease.ask()
     for _ in range(4):
         clock.advance(LEASE_S - 0.5)
-        right.began()
-        right.ended()
-    assert right.is_held and group.state.order_holder == "c1"
+        lease.on_load_started()
+        lease.on_load_ended()
+    assert lease.is_held and group.state.order_holder == "c1"
 
 
 def test_new_leader_waits_if_the_release_was_not_committed(group, clock):
@@ -138,13 +138,13 @@
 
 
 def test_acquisition_is_retried(group, clock):
-    right, acquired = group.lead("c1")
+    lease, acquired = group.lead("c1")
     group.can_commit = False
-    right.ask()
-    assert not right.is_held
+    lease.ask()
+    assert not lease.is_held
     group.can_commit = True
     clock.advance(1.0)
-    assert right.is_held and len(acquired) == 1
+    assert lease.is_held and len(acquired) == 1
 
 
 def test_former_leader_does_not_acquire_the_lease(group, clock):
--- a/tests/test_group/test_columns.py
+++ b/tests/test_group/test_columns.py
@@ -7,8 +7,8 @@
     TOKEN_UNIT,
     NumberedTargets,
     TargetNumbers,
-    echo,
     load_columns,
+    note_key,
     note_records,
 )
 from berylnotch.group.messages import (
@@ -50,8 +50,8 @@
 
     def send(names, **changes):
         numbers.add(names)
-        update = numbers.told(_update(names, **changes))
-        router.take(unpack(pack(update), ROUTER_MESSAGES))
+        update = numbers.with_numbers(_update(names, **changes))
+        router.store_numbers(unpack(pack(update), ROUTER_MESSAGES))
         return router
 
     return send
@@ -108,7 +108,7 @@
     router = send_numbers(["a", "b"])
     other = TargetNumbers()
     other.add(["b"])
-    router.take(other.told(_update(["b"], is_whole=False)))
+    router.store_numbers(other.with_numbers(_update(["b"], is_whole=False)))
     columns = load_columns(LoadsUpdate((TargetLoad("b", 3),)), other)
     assert router.loads(columns) == LoadsUpdate((TargetLoad("b", 3),))
 
@@ -119,7 +119,9 @@
     assert numbers.number("b") is None
     numbers.keep(["a", "c", "d"])
     assert numbers.count == 3
-    router.take(numbers.told(_update(["d"], gone=("b",), is_whole=False)))
+    router.store_numbers(
+        numbers.with_numbers(_update(["d"], gone=("b",), is_whole=False))
+    )
     columns = load_columns(LoadsUpdate((TargetLoad("d", 2),)), numbers)
     assert router.loads(columns) == LoadsUpdate((TargetLoad("d", 2),))
 
@@ -134,7 +136,7 @@
     )
     records = unpack(pack(note_records(notes, numbers)), ROUTER_MESSAGES)
     read = router.notes(records)
-    assert [echo(note) for note in read] == [echo(note) for note in notes[:3]]
+    assert [note_key(note) for note in read] == [note_key(note) for note in notes[:3]]
     for before, after in zip(notes, read, strict=False):
         assert 0 <= after.tokens - before.tokens < TOKEN_UNIT
         assert 0 <= after.own_tokens - before.own_tokens < TOKEN_UNIT
--- a/tests/test_quota/test_bounds.py
+++ b/tests/test_quota/test_bounds.py
@@ -6,7 +6,7 @@
 from berylnotch.entry.settings import EntrySettings
 from berylnotch.quota.bounds import (
     FLEET_QUOTA,
-    HELD_PART,
+    HELD_SHARE,
     EffectiveLimit,
     effective_limits,
     is_limited,
@@ -35,7 +35,7 @@
     limits = effective_limits((ORGANISATION,), BOUNDS)
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
     gates = [QuotaGate(LocalQuota(FLEET_QUOTA), WAIT_S) for _ in range(routers)]
-    floor = int(limits["alpha"].burst * HELD_PART / routers)
+    floor = int(limits["alpha"].burst * HELD_SHARE / routers)
     for gate in gates:
         gate.quota.keep("alpha", floor)
     charges, refusals, now, step = [], [], 0.0, 0.02
@@ -115,7 +115,7 @@
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
     gates = [QuotaGate(LocalQuota(FLEET_QUOTA), WAIT_S) for _ in range(routers)]
     for number, gate in enumerate(gates):
-        gate.quota.keep("alpha", int(175_000 * HELD_PART / routers))
+        gate.quota.keep("alpha", int(175_000 * HELD_SHARE / routers))
         request = gate.request(0.01, f"r{number}", "i", "a", "d")
         gate.receive(0.01, 0.01, owner.grant(0.01, request, limits))
     charged = []
--- a/tests/test_util/test_gathering.py
+++ b/tests/test_util/test_coalesced_action.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from berylnotch.util.gathering import Gathering
+from berylnotch.util.coalesced_action import CoalescedAction
 
 PAUSE_S = 0.25
 
@@ -37,45 +37,49 @@
 
 
 @pytest.fixture
-def gathering():
+def coalesced():
     """A gathering, its loop, and what its action left."""
     loop, runs = Loop(), []
-    return Gathering(loop, lambda: runs.append("run"), lambda: PAUSE_S), loop, runs
+    return (
+        CoalescedAction(loop, lambda: runs.append("run"), lambda: PAUSE_S),
+        loop,
+        runs,
+    )
 
 
-def test_calls_of_one_pause_run_the_action_once(gathering):
-    calls, loop, runs = gathering
+def test_calls_of_one_pause_run_the_action_once(coalesced):
+    calls, loop, runs = coalesced
     for _ in range(3):
-        calls.soon()
+        calls.schedule()
     assert [timer.delay_s for timer in loop.timers] == [PAUSE_S]
     loop.timers[0].run()
     assert runs == ["run"]
 
 
-def test_a_call_after_the_action_starts_another_pause(gathering):
-    calls, loop, runs = gathering
+def test_a_call_after_the_action_starts_another_pause(coalesced):
+    calls, loop, runs = coalesced
     for number in (0, 1):
-        calls.soon()
+        calls.schedule()
         loop.timers[number].run()
     assert runs == ["run", "run"]
 
 
-def test_an_action_that_was_done_otherwise_is_not_repeated(gathering):
-    calls, loop, runs = gathering
-    calls.soon()
-    calls.done()
+def test_an_action_that_was_done_otherwise_is_not_repeated(coalesced):
+    calls, loop, runs = coalesced
+    calls.schedule()
+    calls.cancel()
     loop.timers[0].run()
     assert runs == []
-    calls.soon()
+    calls.schedule()
     loop.timers[1].run()
     assert runs == ["run"]
 
 
-def test_nothing_runs_after_the_end(gathering):
-    calls, loop, runs = gathering
-    calls.soon()
+def test_nothing_runs_after_the_end(coalesced):
+    calls, loop, runs = coalesced
+    calls.schedule()
     calls.close()
-    calls.soon()
+    calls.schedule()
     for timer in loop.timers:
         timer.run()
     assert len(loop.timers) == 1 and runs == []
