--- a/berylnotch/consensus/bootstrap.py
+++ b/berylnotch/consensus/bootstrap.py
@@ -7,7 +7,7 @@
 import attrs
 
 from berylnotch.consensus.errors import BootstrapError
-from berylnotch.consensus.members import encode_members, voters
+from berylnotch.consensus.members import encode_members, voter_ids
 from berylnotch.consensus.messages import Entry, EntryKind, Members
 from berylnotch.consensus.state import HardState, Ready
 
@@ -31,7 +31,7 @@
     BootstrapError
         If the replica already holds another log, or is not a voter in ``members``.
     """
-    if recovered.identity not in voters(members):
+    if recovered.identity not in voter_ids(members):
         raise BootstrapError(f"{recovered.identity} is not a voter of the new group")
     ordered = Members(tuple(sorted(members.members, key=lambda m: m.replica)))
     payload = encode_members(ordered)
--- a/berylnotch/consensus/core.py
+++ b/berylnotch/consensus/core.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from berylnotch.consensus.log import Log
-from berylnotch.consensus.members import find_member, voters
+from berylnotch.consensus.members import find_member, voter_ids
 from berylnotch.consensus.state import HardState, Outgoing
 
 if TYPE_CHECKING:
@@ -95,9 +95,9 @@
         the only one that holds the removal, and the others may then be unable to
         elect a leader without its vote.
         """
-        if self.identity in voters(self.members):
+        if self.identity in voter_ids(self.members):
             return True
-        return self.identity in voters(self.log.members_at(self.commit_index))
+        return self.identity in voter_ids(self.log.members_at(self.commit_index))
 
     def restart_election_timer(self, now: float) -> None:
         """Restart the election timer with a new random timeout."""
--- a/berylnotch/consensus/election.py
+++ b/berylnotch/consensus/election.py
@@ -14,7 +14,7 @@
 from attrs import evolve
 
 from berylnotch.consensus.core import State
-from berylnotch.consensus.members import has_quorum, voters
+from berylnotch.consensus.members import has_quorum, voter_ids
 from berylnotch.consensus.messages import VoteReply, VoteRequest
 from berylnotch.consensus.state import HardState
 
@@ -94,7 +94,7 @@
 
     def _send_vote_requests(self, term: int, is_pre_vote: bool) -> None:
         core = self._core
-        for replica in sorted(voters(core.members) - {core.identity}):
+        for replica in sorted(voter_ids(core.members) - {core.identity}):
             request = VoteRequest(
                 term,
                 core.identity,
--- a/berylnotch/consensus/leading.py
+++ b/berylnotch/consensus/leading.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from berylnotch.consensus.errors import MembershipError, OverloadedError, PayloadError
-from berylnotch.consensus.members import check_change, encode_members, voters
+from berylnotch.consensus.members import check_change, encode_members, voter_ids
 from berylnotch.consensus.messages import (
     AppendReply,
     AppendRequest,
@@ -109,8 +109,10 @@
 
     def select_successor(self) -> str:
         """Return the other voter with the highest match index, or empty if none."""
-        candidates = voters(self._core.members) & self._progress.keys()
-        return max(candidates, key=lambda r: (self._progress[r].match, r), default="")
+        candidates = voter_ids(self._core.members) & self._progress.keys()
+        return max(
+            candidates, key=lambda r: (self._progress[r].match_index, r), default=""
+        )
 
     def on_append_reply(self, now: float, reply: AppendReply) -> None:
         """Process a replica's reply to entries or to a heartbeat."""
@@ -144,7 +146,9 @@
     def update_commit(self) -> None:
         """Commit the entries saved by a majority, if the last is of this term."""
         core = self._core
-        match_indexes = {replica: p.match for replica, p in self._progress.items()}
+        match_indexes = {
+            replica: p.match_index for replica, p in self._progress.items()
+        }
         index = majority_value(
             core.members, core.identity, core.log.saved_index, match_indexes
         )
@@ -174,7 +178,7 @@
         if progress.snapshot is not None:
             return True
         last_index = self._core.log.last_index
-        inflight_entries = progress.next_index - 1 - progress.match
+        inflight_entries = progress.next_index - 1 - progress.match_index
         limit = self._core.settings.max_inflight_entries
         return progress.next_index <= last_index and inflight_entries < limit
 
@@ -219,7 +223,7 @@
 
     def _next_entries(self, progress: Progress) -> tuple[Entry, ...]:
         settings = self._core.settings
-        inflight_entries = progress.next_index - 1 - progress.match
+        inflight_entries = progress.next_index - 1 - progress.match_index
         if progress.is_probing or inflight_entries >= settings.max_inflight_entries:
             return ()
         return self._core.log.batch(
--- a/berylnotch/consensus/members.py
+++ b/berylnotch/consensus/members.py
@@ -15,14 +15,14 @@
 _CAPNP_FIRST_BYTE = b"\x00"
 
 
-def voters(members: Members) -> frozenset[str]:
+def voter_ids(members: Members) -> frozenset[str]:
     """Return the replica ids of the voters."""
     return frozenset(m.replica for m in members.members if m.role is Role.VOTER)
 
 
 def quorum_size(members: Members) -> int:
     """Return the number of voters that form a majority."""
-    return len(voters(members)) // 2 + 1
+    return len(voter_ids(members)) // 2 + 1
 
 
 def find_member(members: Members, replica: str) -> Member | None:
@@ -32,7 +32,7 @@
 
 def has_quorum(members: Members, replicas: Iterable[str]) -> bool:
     """Return whether ``replicas`` include a majority of the voters."""
-    return len(voters(members).intersection(replicas)) >= quorum_size(members)
+    return len(voter_ids(members).intersection(replicas)) >= quorum_size(members)
 
 
 def check_change(old: Members, new: Members) -> None:
@@ -62,7 +62,7 @@
     if member is not None and member.replica not in before:
         if member.role is not Role.LEARNER:
             raise MembershipError(f"{member.replica} must be a learner first")
-    if not voters(new):
+    if not voter_ids(new):
         raise MembershipError("a group needs a voter")
 
 
--- a/berylnotch/consensus/progress.py
+++ b/berylnotch/consensus/progress.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from berylnotch.consensus.members import quorum_size, voters
+from berylnotch.consensus.members import quorum_size, voter_ids
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -60,13 +60,13 @@
     def __init__(self, next_index: int) -> None:
         #: Last index up to which its log is known to be durable and equal to the
         #: leader's.
-        self.match = 0
+        self.match_index = 0
         #: Index of the next entry to send.
         self.next_index = next_index
         #: Sending time of the newest round that it answered, in monotonic seconds.
         self.acked_round_sent_at = NEVER
         #: Arrival time of its last reply, in monotonic seconds.
-        self.heard_at = NEVER
+        self.last_contact_at = NEVER
         #: Whether the last equal index is unknown, so that one request at a time is
         #: sent.
         self.is_probing = True
@@ -85,26 +85,28 @@
 
     def record_reply(self, now: float, sent_at: float) -> None:
         """Record a reply to a round that was sent at ``sent_at``."""
-        self.heard_at = now
+        self.last_contact_at = now
         self.acked_round_sent_at = max(self.acked_round_sent_at, sent_at)
 
     def record_match(self, index: int, round_number: int) -> None:
         """Record that the logs were equal up to ``index`` in this round."""
-        if index > self.match:
-            self.match = index
+        if index > self.match_index:
+            self.match_index = index
             self._match_round = round_number
-        self.next_index = max(self.next_index, self.match + 1)
+        self.next_index = max(self.next_index, self.match_index + 1)
         self.is_probing = False
 
     def record_mismatch(self, match_hint: int, round_number: int) -> None:
         """Go back to the index up to which the logs may still be equal.
 
-        If a later round reports a lower index than `match`, the replica lost entries
-        that it had acknowledged.
+        If a later round reports a lower index than `match_index`, the replica lost
+        entries that it had acknowledged.
         """
-        if match_hint < self.match and round_number > self._match_round:
+        if match_hint < self.match_index and round_number > self._match_round:
             self.has_lost_entries = True
-        self.next_index = max(self.match + 1, min(self.next_index, match_hint + 1))
+        self.next_index = max(
+            self.match_index + 1, min(self.next_index, match_hint + 1)
+        )
         self.is_probing = True
 
     def set_offset(self, offset: int) -> None:
@@ -140,8 +142,8 @@
     def finish_snapshot(self, index: int) -> None:
         """Continue with the entries after a snapshot that the replica has installed."""
         self.snapshot = None
-        self.match = max(self.match, index)
-        self.next_index = self.match + 1
+        self.match_index = max(self.match_index, index)
+        self.next_index = self.match_index + 1
         self.is_probing = True
 
 
@@ -155,7 +157,7 @@
     """
     values = [
         own if replica == identity else others.get(replica, NEVER)
-        for replica in voters(members)
+        for replica in voter_ids(members)
     ]
     majority = quorum_size(members)
     return sorted(values, reverse=True)[majority - 1] if values else NEVER
--- a/berylnotch/consensus/replica.py
+++ b/berylnotch/consensus/replica.py
@@ -6,7 +6,7 @@
 
 from berylnotch.consensus.core import Core
 from berylnotch.consensus.errors import MembershipError, NotLeaderError
-from berylnotch.consensus.members import voters
+from berylnotch.consensus.members import voter_ids
 from berylnotch.consensus.roles import RoleTransitions
 from berylnotch.consensus.state import Ready, Recovered, Snapshot
 from berylnotch.errors import ConsensusError
@@ -184,7 +184,7 @@
             If the change is invalid, or is not allowed at this time.
         """
         leader = self._require_leader(now)
-        promoted = voters(members) - voters(self.members)
+        promoted = voter_ids(members) - voter_ids(self.members)
         for replica in sorted(promoted):
             if not self.is_caught_up(now, replica):
                 raise MembershipError(f"{replica} has not caught up")
@@ -193,13 +193,13 @@
     def is_caught_up(self, now: float, replica: str) -> bool:
         """Whether a member answers and lags by at most one append request."""
         progress = self.progress.get(replica)
-        if progress is None or not progress.match:
+        if progress is None or not progress.match_index:
             return False
         # Promoting a learner that does not answer enlarges the quorum by a silent
         # voter, so the leader could lose its lease.
         if now - progress.acked_round_sent_at >= self._core.settings.lease_s:
             return False
-        lag = self._core.commit_index - progress.match
+        lag = self._core.commit_index - progress.match_index
         return lag <= self._core.settings.max_append_entries
 
     def transfer(self, now: float) -> bool:
--- a/berylnotch/daemon/controller/reads.py
+++ b/berylnotch/daemon/controller/reads.py
@@ -121,11 +121,11 @@
     if member.replica == replica.identity:
         return ControllerLine(member, True, replica.last_index, 0)
     progress = replica.progress.get(member.replica)
-    if progress is None or math.isinf(progress.heard_at):
-        match = progress.match if progress is not None else 0
+    if progress is None or math.isinf(progress.last_contact_at):
+        match = progress.match_index if progress is not None else 0
         return ControllerLine(member, False, match, -1)
-    heard_ms = int((now - progress.heard_at) * 1000)
-    return ControllerLine(member, False, progress.match, heard_ms)
+    heard_ms = int((now - progress.last_contact_at) * 1000)
+    return ControllerLine(member, False, progress.match_index, heard_ms)
 
 
 def _target(core: Core, target: Target) -> TargetLine:
--- a/berylnotch/daemon/fleet/membership_manager.py
+++ b/berylnotch/daemon/fleet/membership_manager.py
@@ -121,7 +121,7 @@
         silence_s, caught_up = {}, set()
         for name, progress in replica.progress.items():
             since = self._member_since.setdefault(name, now)
-            silence_s[name] = now - max(since, progress.heard_at)
+            silence_s[name] = now - max(since, progress.last_contact_at)
             if replica.is_caught_up(now, name):
                 caught_up.add(name)
         own = replica.identity
--- a/berylnotch/entry/choice.py
+++ b/berylnotch/entry/choice.py
@@ -102,7 +102,7 @@
         make_choice(
             t,
             inputs,
-            costs.read_ms(uncached_tokens, t.load),
+            costs.prefill_ms(uncached_tokens, t.load),
             uncached_tokens=uncached_tokens,
         )
         for t in usable
--- a/berylnotch/entry/choice_inputs.py
+++ b/berylnotch/entry/choice_inputs.py
@@ -79,10 +79,10 @@
         target_latency_s=routed.route.target_latency_s,
         chain=chain if model else EMPTY_CHAIN,
         prompt_tokens=caller.prompt_tokens if model else 0,
-        queue_share=context.meter(service.name).queue_share(
+        queue_share=context.estimator(service.name).queue_share(
             routed.priority, routed.is_urgent
         ),
-        max_overshoot_ms=context.meter(service.name).max_overshoot_ms,
+        max_overshoot_ms=context.estimator(service.name).max_overshoot_ms,
         sample=settings.sample_size if has_many_routers else 0,
         draw=random.randrange,
         cached_levels=cached_levels,
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -18,10 +18,10 @@
 from berylnotch.membership.marks import SharedLosses
 from berylnotch.placement.cache_model import CacheModel
 from berylnotch.placement.costs import (
-    DEFAULT_COPY_PER_MS,
-    DEFAULT_STORE_PER_MS,
-    CostMeter,
+    DEFAULT_COPY_TOKENS_PER_MS,
+    DEFAULT_STORE_TOKENS_PER_MS,
     EngineCosts,
+    PrefillEstimator,
 )
 from berylnotch.routing.model import Service
 from berylnotch.routing.table import RouteTable
@@ -112,7 +112,7 @@
     schedule_report: Callable[[], None] = lambda: None
     own_note_keys: deque[tuple] = field(factory=lambda: deque(maxlen=MAX_OWN_NOTES))
     _budgets: dict[str, WindowBudget] = field(factory=dict)
-    _meters: dict[str, CostMeter] = field(factory=dict)
+    _estimators: dict[str, PrefillEstimator] = field(factory=dict)
 
     def budget(self, service: str) -> WindowBudget:
         """Return this router's retry budget for a service."""
@@ -123,23 +123,23 @@
             self._budgets[service] = budget
         return budget
 
-    def meter(self, service: str) -> CostMeter:
-        """Return the meter of a service's engines, with their measured times."""
-        return self._meters.setdefault(service, CostMeter())
+    def estimator(self, service: str) -> PrefillEstimator:
+        """Return the estimator of a service's engines, with their measured times."""
+        return self._estimators.setdefault(service, PrefillEstimator())
 
     def costs(self, service: Service) -> EngineCosts:
         """Return the measured and the configured costs of a service's engines."""
-        meter, engine = self.meter(service.name), service.engine
+        estimator, engine = self.estimator(service.name), service.engine
         if engine is None:
             return EngineCosts()
         store_mbps = max((s.store_link_mbps for s in self.routes.stores), default=0.0)
         copy_per_ms = engine.tokens_per_ms(engine.link_mbps)
         store_per_ms = engine.tokens_per_ms(min(store_mbps, engine.link_mbps))
         return EngineCosts(
-            meter.token_ms,
-            meter.base_ms,
-            copy_per_ms or DEFAULT_COPY_PER_MS,
-            store_per_ms or DEFAULT_STORE_PER_MS,
+            estimator.token_ms,
+            estimator.base_ms,
+            copy_per_ms or DEFAULT_COPY_TOKENS_PER_MS,
+            store_per_ms or DEFAULT_STORE_TOKENS_PER_MS,
         )
 
     def record_target_loss(self, target_id: str, fingerprint: bytes) -> None:
--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -116,7 +116,7 @@
     own_tokens = holdings.own_tokens
     # The unread tokens of levels that the target is still reading are counted in its
     # queue already.
-    delay = costs.read_ms(own_tokens, target.load)
+    delay = costs.prefill_ms(own_tokens, target.load)
     if held >= chain.shared_tokens:
         return make_choice(target, inputs, delay, uncached_tokens=own_tokens)
     source, levels = holdings.source(target)
@@ -131,7 +131,7 @@
         cached = held + max(0, stored_tokens)
         delay += costs.store_ms(max(0, stored_tokens))
     uncached = chain.shared_tokens - cached
-    delay += costs.read_ms(uncached, target.load)
+    delay += costs.prefill_ms(uncached, target.load)
     reprocessed_tokens = max(0, holdings.known_tokens(target) - cached)
     return make_choice(
         target,
@@ -177,7 +177,7 @@
     if not inputs.model:
         return Choice(target, prompt_ms + 1000 * target.latency_s, 0.0, drawback)
     costs = inputs.costs
-    queue = costs.read_ms(target.total_unread, target.load)
+    queue = costs.prefill_ms(target.total_unread, target.load)
     delay = costs.base_ms + inputs.queue_share * queue + prompt_ms
     return Choice(target, delay, queue, drawback, **changes)
 
--- a/berylnotch/entry/reading.py
+++ b/berylnotch/entry/reading.py
@@ -17,7 +17,7 @@
     """Reading of one request's prompt at one target.
 
     It counts the prompt's unread tokens at the target, notes the shared parts that the
-    target will hold, and passes the measured delay to the service's cost meter.
+    target will hold, and passes the measured delay to the service's prefill estimator.
 
     Parameters
     ----------
@@ -91,10 +91,10 @@
         self._unread = 0
 
     def _measure(self, first_event_ms: float) -> None:
-        meter = self._context.meter(self._target.listed.service)
-        meter.note_overshoot(self._expected_ms, first_event_ms)
+        estimator = self._context.estimator(self._target.listed.service)
+        estimator.record_overshoot(self._expected_ms, first_event_ms)
         routed = self._routed
-        meter.note_wait(
+        estimator.record_queue_wait(
             routed.priority,
             routed.is_urgent,
             self._tokens,
@@ -102,7 +102,7 @@
             first_event_ms,
         )
         if self._tokens_ahead <= self._tokens:
-            meter.note(self._tokens + self._tokens_ahead, first_event_ms)
+            estimator.record_prefill(self._tokens + self._tokens_ahead, first_event_ms)
 
     def _prefix_hashes(self) -> tuple[int, ...]:
         return self._caller.chain.prefix_hashes(self._target_headers.cache_salt)
--- a/berylnotch/group/changes.py
+++ b/berylnotch/group/changes.py
@@ -6,7 +6,7 @@
 
 from attrs import evolve, frozen
 
-from berylnotch.consensus.members import voters
+from berylnotch.consensus.members import voter_ids
 from berylnotch.consensus.messages import Member, Members, Role
 from berylnotch.group.messages import JoinRequest
 from berylnotch.group.settings import GroupSettings
@@ -102,7 +102,7 @@
 
 def _remove_silent_member(view: GroupView, settings: GroupSettings) -> Members | None:
     """Remove a learner or voter that has not answered for too long."""
-    voter_count = len(voters(view.members))
+    voter_count = len(voter_ids(view.members))
     for member in view.members.members:
         if member.replica == view.own_replica:
             continue
@@ -127,7 +127,7 @@
     """
     if member.role is Role.LEARNER:
         return True
-    remaining = voters(view.members) - {member.replica}
+    remaining = voter_ids(view.members) - {member.replica}
     answering = {
         r for r in remaining if view.silence_s.get(r, 0.0) < _MAX_ANSWERING_SILENCE_S
     }
--- a/berylnotch/placement/costs.py
+++ b/berylnotch/placement/costs.py
@@ -48,8 +48,8 @@
 
 #: Tokens per ms that an engine copies from another engine, or from a KV store, if the
 #: configuration does not state the link's bandwidth.
-DEFAULT_COPY_PER_MS = 1500.0
-DEFAULT_STORE_PER_MS = 100.0
+DEFAULT_COPY_TOKENS_PER_MS = 1500.0
+DEFAULT_STORE_TOKENS_PER_MS = 100.0
 
 #: Factor on the time of a transfer between failure domains.
 CROSS_DOMAIN_FACTOR = 2.0
@@ -76,10 +76,10 @@
 
     token_ms: float = INITIAL_TOKEN_MS
     base_ms: float = INITIAL_BASE_MS
-    copy_tokens_per_ms: float = DEFAULT_COPY_PER_MS
-    store_tokens_per_ms: float = DEFAULT_STORE_PER_MS
+    copy_tokens_per_ms: float = DEFAULT_COPY_TOKENS_PER_MS
+    store_tokens_per_ms: float = DEFAULT_STORE_TOKENS_PER_MS
 
-    def read_ms(self, tokens: int, load: int) -> float:
+    def prefill_ms(self, tokens: int, load: int) -> float:
         """Return the time in ms to prefill tokens beside ``load`` running requests."""
         return tokens * self.token_ms * (1 + LOAD_SLOWDOWN * load)
 
@@ -101,7 +101,7 @@
 
 
 @define
-class CostMeter:
+class PrefillEstimator:
     """Linear fit of the time to first token over the prompt tokens, for one service.
 
     The weight of older measurements decays exponentially, so that the fit follows a
@@ -132,7 +132,7 @@
         """Largest recent excess over the expected time to first token, in ms."""
         return self._overshoot_ms
 
-    def note_overshoot(self, expected_ms: float, took_ms: float) -> None:
+    def record_overshoot(self, expected_ms: float, took_ms: float) -> None:
         """Record an expected and a measured time to first token, in ms."""
         decayed_ms = OVERSHOOT_DECAY * self._overshoot_ms
         self._overshoot_ms = max(decayed_ms, took_ms - expected_ms)
@@ -142,7 +142,7 @@
         initial = INITIAL_URGENT_QUEUE_SHARE if is_urgent else INITIAL_QUEUE_SHARE
         return self._queue_shares.get(priority, initial)
 
-    def note_wait(
+    def record_queue_wait(
         self,
         priority: int,
         is_urgent: bool,
@@ -175,7 +175,7 @@
             estimate + (share - estimate) * QUEUE_SHARE_SMOOTHING
         )
 
-    def note(self, tokens: int, took_ms: float) -> None:
+    def record_prefill(self, tokens: int, took_ms: float) -> None:
         """Record a time to first token in ms after a prefill of ``tokens``."""
         if tokens < MIN_TOKENS or took_ms <= 0:
             return
--- a/tests/test_consensus/faults.py
+++ b/tests/test_consensus/faults.py
@@ -11,7 +11,7 @@
 import attrs
 
 from berylnotch.consensus.bootstrap import bootstrap
-from berylnotch.consensus.members import find_member, quorum_size, voters
+from berylnotch.consensus.members import find_member, quorum_size, voter_ids
 from berylnotch.consensus.messages import Members, Role, VoteReply
 from berylnotch.consensus.settings import ConsensusSettings
 from berylnotch.consensus.state import Recovered
@@ -181,7 +181,7 @@
         """Whether all memberships in force keep a majority without this replica."""
         alive = {vm.identity for vm in self.vms.values()} - {lost_identity}
         return all(
-            len(voters(members) & alive) >= quorum_size(members)
+            len(voter_ids(members) & alive) >= quorum_size(members)
             for members in (vm.replica.members for vm in self.vms.values())
             if members.members
         )
@@ -222,7 +222,7 @@
         return [
             new
             for new in memberships
-            if len(voters(new) & alive) >= max(3, quorum_size(new))
+            if len(voter_ids(new) & alive) >= max(3, quorum_size(new))
         ]
 
     def change_members(self, vm, choice):
--- a/tests/test_consensus/test_members.py
+++ b/tests/test_consensus/test_members.py
@@ -4,7 +4,7 @@
 import pytest
 
 from berylnotch.consensus.errors import MembershipError
-from berylnotch.consensus.members import check_change, voters
+from berylnotch.consensus.members import check_change, voter_ids
 from berylnotch.consensus.messages import Members, Role
 from tests.test_consensus.group import Group, member, members_of
 
@@ -148,7 +148,7 @@
     assert not group[leader].is_leader
     new = group.elect()
     assert new != leader
-    assert leader not in voters(group[new].members)
+    assert leader not in voter_ids(group[new].members)
 
 
 def test_leader_with_uncommitted_removal_can_be_elected_again():
@@ -168,4 +168,4 @@
     group.isolated = {failed}
     new = group.elect()
     assert new != leader
-    assert leader not in voters(group[new].members)
+    assert leader not in voter_ids(group[new].members)
--- a/tests/test_entry/test_load.py
+++ b/tests/test_entry/test_load.py
@@ -56,10 +56,10 @@
             self.held.move_to_end(prefix)
             while len(self.held) * (PREFIX_TOKENS + REST_TOKENS) > CACHE_TOKENS:
                 self.held.popitem(last=False)
-        read_ms = unread / CHUNK_TOKENS * (CHUNK_MS + STEP_MS)
-        self.free_at = max(now, self.free_at) + read_ms / 1000
+        prefill_ms = unread / CHUNK_TOKENS * (CHUNK_MS + STEP_MS)
+        self.free_at = max(now, self.free_at) + prefill_ms / 1000
         if prefix is None:
-            return now + (CHUNK_MS + STEP_MS + read_ms) / 1000, unread
+            return now + (CHUNK_MS + STEP_MS + prefill_ms) / 1000, unread
         return self.free_at, unread
 
 
--- a/tests/test_entry/test_short_prompt_load.py
+++ b/tests/test_entry/test_short_prompt_load.py
@@ -51,15 +51,15 @@
     """Return the baseline's choice: affinity to one of few engines, and no copies."""
     drawn = [targets[inputs.draw(len(targets))] for _ in range(inputs.sample)]
     home = min(drawn, key=lambda t: rendezvous_weight(t.target_id, inputs.chain.path))
-    gain_ms = 2 * inputs.costs.read_ms(inputs.chain.shared_tokens, 0)
+    gain_ms = 2 * inputs.costs.prefill_ms(inputs.chain.shared_tokens, 0)
 
     def cost_ms(choice):
         return total_cost_ms(choice, inputs) - (gain_ms if choice.target is home else 0)
 
-    read_ms = inputs.costs.read_ms
+    prefill_ms = inputs.costs.prefill_ms
     choices = [
         make_choice(
-            t, inputs, read_ms(PROMPT_TOKENS, t.load), uncached_tokens=PROMPT_TOKENS
+            t, inputs, prefill_ms(PROMPT_TOKENS, t.load), uncached_tokens=PROMPT_TOKENS
         )
         for t in drawn
     ]
--- a/tests/test_group/test_changes.py
+++ b/tests/test_group/test_changes.py
@@ -2,7 +2,7 @@
 
 from attrs import evolve
 
-from berylnotch.consensus.members import check_change, voters
+from berylnotch.consensus.members import check_change, voter_ids
 from berylnotch.consensus.messages import Member, Members, Role
 from berylnotch.group.changes import GroupView, next_change
 from berylnotch.group.messages import JoinRequest
@@ -53,7 +53,7 @@
     assert learner.role is Role.LEARNER
     assert checked_next_change(view(*group, learner)) is None
     members = checked_next_change(view(*group, learner, caught_up=[learner]))
-    assert voters(members) == {m.replica for m in (*group, learner)}
+    assert voter_ids(members) == {m.replica for m in (*group, learner)}
 
 
 def test_a_wiped_member_is_removed_before_it_joins_again():
@@ -62,7 +62,7 @@
         *group, join_requests=[join_request(3, "again")], silent=[(group[2], 1.0)]
     )
     members = checked_next_change(group_view)
-    assert group[2].replica not in voters(members)
+    assert group[2].replica not in voter_ids(members)
     members = checked_next_change(evolve(group_view, members=members))
     assert members.members[-1].replica == join_request(3, "again").replica
 
@@ -83,7 +83,7 @@
     over_limit_s = SETTINGS.remove_after_s + 1
     assert checked_next_change(view(*group, silent=[(group[4], 5.0)])) is None
     members = checked_next_change(view(*group, silent=[(group[4], over_limit_s)]))
-    assert voters(members) == {m.replica for m in group[:4]}
+    assert voter_ids(members) == {m.replica for m in group[:4]}
     assert (
         checked_next_change(view(*group[:3], silent=[(group[2], over_limit_s)])) is None
     )
@@ -93,7 +93,7 @@
     group = [member(n) for n in range(1, 7)]
     silent = [(group[1], SETTINGS.replace_after_s + 0.5)]
     members = checked_next_change(view(*group, silent=silent))
-    assert group[1].replica not in voters(members) and len(voters(members)) == 5
+    assert group[1].replica not in voter_ids(members) and len(voter_ids(members)) == 5
 
 
 def test_a_silent_learner_is_removed():
