--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -128,7 +128,7 @@
     if args.claims:
         timed("open claims", lambda: open_claims(runner, organisations, args.claims))
     print(f"with the state: {resident_mb():.1f} MB")
-    pack = timed("freeze the state", runner.state.freeze)
+    pack = timed("freeze the state", runner.state.prepare_snapshot)
     snapshot = timed("snapshot of the state", pack)
     pack = None
     print(f"snapshot of the state: {len(snapshot):,} bytes")
--- a/berylnotch/cmd/commands/keys.py
+++ b/berylnotch/cmd/commands/keys.py
@@ -10,7 +10,7 @@
 from berylnotch.control.commands import GiveKey, Status, WithdrawKey
 from berylnotch.control.protocol import KeysRequest
 from berylnotch.control.times import format_ms
-from berylnotch.keys.keyring import digest_key, new_key
+from berylnotch.keys.keyring import digest_key, generate_key
 
 HELP = "give, withdraw and list callers' keys"
 DESCRIPTION = """\
@@ -42,7 +42,7 @@
 
 
 def _give(organisation: str, session: Session) -> int:
-    key = new_key()
+    key = generate_key()
     digest = digest_key(key.key)
     command = GiveKey(
         session.change_id, session.operator, key.key_id, organisation, digest
--- a/berylnotch/control/observations.py
+++ b/berylnotch/control/observations.py
@@ -96,7 +96,7 @@
     if command.target not in data.view.fleet.targets:
         message = f"target {command.target!r} is not in the text"
         raise CommandError(Status.NOT_FOUND, message)
-    lost_targets = data.view.crash_targets(command.fingerprint, context.at_ms)
+    lost_targets = data.view.targets_lost_with(command.fingerprint, context.at_ms)
     if command.target in lost_targets:
         return CommandEffect("the crash was reported already")
     event = CrashReported(command.fingerprint, command.target, context.at_ms)
--- a/berylnotch/control/state.py
+++ b/berylnotch/control/state.py
@@ -185,9 +185,9 @@
 
     def snapshot(self) -> bytes:
         """Return a snapshot of the state."""
-        return self.freeze()()
+        return self.prepare_snapshot()()
 
-    def freeze(self) -> Callable[[], bytes]:
+    def prepare_snapshot(self) -> Callable[[], bytes]:
         """Return a function that encodes a snapshot of the current state.
 
         Collecting the records here is quick. The returned function takes far longer
--- a/berylnotch/control/view.py
+++ b/berylnotch/control/view.py
@@ -26,7 +26,7 @@
 from berylnotch.fleet.model import Fleet
 from berylnotch.fleet.text import parse
 from berylnotch.keys.errors import KeyExistsError
-from berylnotch.keys.keyring import KEY_HASH_BYTES, HeldKey, Keyring
+from berylnotch.keys.keyring import KEY_HASH_BYTES, AcceptedKey, Keyring
 from berylnotch.transport.codec import decode
 
 _MachineKey = tuple[Subject, str]
@@ -81,7 +81,7 @@
         """Accepted keys, including those of organisations that were removed."""
         return self._keyring
 
-    def find_key(self, key_hash: bytes) -> HeldKey | None:
+    def find_key(self, key_hash: bytes) -> AcceptedKey | None:
         """Return the key with this hash if its organisation is configured."""
         key = self._keyring.find_by_hash(key_hash)
         if key is None or key.organisation not in self._fleet.organisations:
@@ -110,7 +110,7 @@
         """Return the newest report of an engine's weights version."""
         return self._weights_reports.get(target)
 
-    def crash_targets(self, fingerprint: bytes, at_ms: int = 0) -> frozenset[str]:
+    def targets_lost_with(self, fingerprint: bytes, at_ms: int = 0) -> frozenset[str]:
         """Return the targets lost while running a request; see `CrashTable`."""
         return self._crashes.lost_targets(fingerprint, at_ms)
 
@@ -258,7 +258,7 @@
         for position, key_id in enumerate(block.key_ids):
             start = position * KEY_HASH_BYTES
             key_hash = hashes[start : start + KEY_HASH_BYTES]
-            self._keyring.add(HeldKey(key_id, block.organisation, key_hash))
+            self._keyring.add(AcceptedKey(key_id, block.organisation, key_hash))
 
     def _set_text(self, event: TextChanged, fleet: Fleet) -> None:
         self._revision = event.revision
@@ -288,7 +288,7 @@
         # own copy of the name.
         organisation = self._fleet.organisations.get(event.organisation)
         name = organisation.name if organisation else event.organisation
-        self._keyring.add(HeldKey(event.key_id, name, event.key_hash))
+        self._keyring.add(AcceptedKey(event.key_id, name, event.key_hash))
 
     def _remove_key(self, event: KeyWithdrawn) -> None:
         self._keyring.remove(event.key_id)
@@ -326,7 +326,7 @@
 
 
 def _build_key_blocks(keyring: Keyring) -> Iterator[KeyBlock]:
-    by_organisation: dict[str, list[HeldKey]] = {}
+    by_organisation: dict[str, list[AcceptedKey]] = {}
     for key in keyring:
         by_organisation.setdefault(key.organisation, []).append(key)
     for organisation in sorted(by_organisation):
--- a/berylnotch/daemon/controller/core.py
+++ b/berylnotch/daemon/controller/core.py
@@ -351,7 +351,7 @@
         # Packing a large state takes longer than a lease, so that only the
         # collecting of its records is done in this thread.
         self._snapshotting = True
-        pack = self._state.freeze()
+        pack = self._state.prepare_snapshot()
         empty = self._replica.build_snapshot(b"")
         self._packer.submit(lambda: self._save_snapshot(empty, pack))
 
--- a/berylnotch/keys/keyring.py
+++ b/berylnotch/keys/keyring.py
@@ -22,7 +22,7 @@
 
 
 @frozen
-class NewKey:
+class GeneratedKey:
     """A generated key; ``key`` itself is given to the caller and not stored."""
 
     key_id: str
@@ -30,7 +30,7 @@
 
 
 @frozen
-class HeldKey:
+class AcceptedKey:
     """An accepted key, identified by its keyed hash."""
 
     key_id: str
@@ -38,10 +38,12 @@
     key_hash: bytes
 
 
-def new_key() -> NewKey:
+def generate_key() -> GeneratedKey:
     """Generate a random key."""
     key_id = secrets.token_hex(KEY_ID_BYTES)
-    return NewKey(key_id, f"{KEY_PREFIX}{key_id}-{secrets.token_urlsafe(KEY_BYTES)}")
+    return GeneratedKey(
+        key_id, f"{KEY_PREFIX}{key_id}-{secrets.token_urlsafe(KEY_BYTES)}"
+    )
 
 
 def digest_key(key: str) -> bytes:
@@ -76,16 +78,16 @@
     """Accepted keys, indexed by hash and by ID."""
 
     def __init__(self) -> None:
-        self._by_hash: dict[bytes, HeldKey] = {}
-        self._by_id: dict[str, HeldKey] = {}
+        self._by_hash: dict[bytes, AcceptedKey] = {}
+        self._by_id: dict[str, AcceptedKey] = {}
 
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def __iter__(self) -> Iterator[HeldKey]:
+    def __iter__(self) -> Iterator[AcceptedKey]:
         return iter(self._by_id.values())
 
-    def add(self, key: HeldKey) -> None:
+    def add(self, key: AcceptedKey) -> None:
         """Accept a key.
 
         Raises
@@ -101,17 +103,17 @@
         self._by_id[key.key_id] = key
         self._by_hash[key.key_hash] = key
 
-    def remove(self, key_id: str) -> HeldKey | None:
+    def remove(self, key_id: str) -> AcceptedKey | None:
         """Stop accepting a key; return it, or None if there is no such key."""
         key = self._by_id.pop(key_id, None)
         if key is not None:
             del self._by_hash[key.key_hash]
         return key
 
-    def find_by_hash(self, key_hash: bytes) -> HeldKey | None:
+    def find_by_hash(self, key_hash: bytes) -> AcceptedKey | None:
         """Return the key with this hash, or None."""
         return self._by_hash.get(key_hash)
 
-    def find_by_id(self, key_id: str) -> HeldKey | None:
+    def find_by_id(self, key_id: str) -> AcceptedKey | None:
         """Return the key with this ID, or None."""
         return self._by_id.get(key_id)
--- a/berylnotch/server/app.py
+++ b/berylnotch/server/app.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from berylnotch.fleet.model import Organisation, Route, Service
-    from berylnotch.keys.keyring import HeldKey
+    from berylnotch.keys.keyring import AcceptedKey
     from berylnotch.server.context import Context
     from berylnotch.server.engine import RequestPath
 
@@ -146,7 +146,7 @@
             return self._models(caller)
         return self._language_job(accepted, service)
 
-    def _held_key(self, key: str, key_hash: bytes) -> HeldKey:
+    def _held_key(self, key: str, key_hash: bytes) -> AcceptedKey:
         if not key:
             raise Refusal(401, "missing_key", "send a key: Authorization: Bearer KEY")
         if not self._context.freshness.is_fresh(time.monotonic()):
@@ -161,7 +161,7 @@
             raise Refusal(401, "invalid_key", "the key is not accepted")
         return held
 
-    def _organisation(self, held: HeldKey) -> Organisation:
+    def _organisation(self, held: AcceptedKey) -> Organisation:
         organisation = self._context.view.fleet.organisations.get(held.organisation)
         if organisation is None:
             raise Refusal(401, "invalid_key", "the key's organisation is not served")
--- a/berylnotch/server/context.py
+++ b/berylnotch/server/context.py
@@ -78,4 +78,4 @@
 
     def shared_losses(self, fingerprint: bytes) -> frozenset[str]:
         """Return the targets that routers report lost with a request."""
-        return self.view.crash_targets(fingerprint, int(time.time() * 1000))
+        return self.view.targets_lost_with(fingerprint, int(time.time() * 1000))
--- a/berylnotch/standins/fleet.py
+++ b/berylnotch/standins/fleet.py
@@ -23,7 +23,7 @@
     ProposeRequest,
     StatusRequest,
 )
-from berylnotch.keys.keyring import NewKey, digest_key, new_key
+from berylnotch.keys.keyring import GeneratedKey, digest_key, generate_key
 from berylnotch.standins.process import Child
 from berylnotch.transport.client import Client
 from berylnotch.transport.codec import encode
@@ -233,9 +233,9 @@
         """Return the command that puts a text in force."""
         return ApplyText(secrets.token_hex(8), OPERATOR, base_revision, text)
 
-    def give_key(self, organisation: str) -> NewKey:
+    def give_key(self, organisation: str) -> GeneratedKey:
         """Give an organisation a new key."""
-        key = new_key()
+        key = generate_key()
         change_id = secrets.token_hex(8)
         digest = digest_key(key.key)
         command = GiveKey(change_id, OPERATOR, key.key_id, organisation, digest)
--- a/soak/run.py
+++ b/soak/run.py
@@ -18,7 +18,7 @@
 from soak.checks import Seen
 from soak.proxy import MODES, FaultProxy
 from tests.fleet.platform import PlatformStandIn
-from tests.fleet.processes import FleetOfProcesses, configuration, until
+from tests.fleet.processes import FleetOfProcesses, configuration, wait_until
 
 #: Seconds after the last fault in which the fleet must serve again: the bound of the
 #: users' deployments.
@@ -28,7 +28,7 @@
 STOP_S = 8.0
 
 #: Moods of targets that a soak brings about.
-MOODS = ("refuse", "error", "hang", "reset", "cut", "no_stamp", "foreign")
+FAULTS = ("refuse", "error", "hang", "reset", "cut", "no_stamp", "foreign")
 
 #: Longest wait for the proxies to close, in seconds.
 CLOSE_S = 2.0
@@ -276,10 +276,10 @@
 
     def _mood(self) -> None:
         target = self._rng.choice(list(self._platform.targets.values()))
-        target.mood = self._rng.choice(MOODS)
+        target.fault = self._rng.choice(FAULTS)
 
         def calm() -> None:
-            target.mood = "ok"
+            target.fault = "ok"
 
         self._later(calm)
 
@@ -287,14 +287,16 @@
 
     def _recover(self) -> None:
         for target in self._platform.targets.values():
-            target.mood = "ok"
+            target.fault = "ok"
         for process in (*self._fleet.controllers, *self._fleet.routers):
             self._restart(process)
         started = time.monotonic()
         for router in self._fleet.routers:
-            until(lambda r=router: self._serves(r), f"{router.name} serves", RECOVERY_S)
+            wait_until(
+                lambda r=router: self._serves(r), f"{router.name} serves", RECOVERY_S
+            )
         before = self._seen.acked_version
-        held = until(
+        held = wait_until(
             lambda: self._fleet.operator("GET", "/config"), "the configuration"
         )
         self._seen.read_back(before, held)
--- a/tests/fleet/platform.py
+++ b/tests/fleet/platform.py
@@ -42,10 +42,10 @@
     orders: list[dict] = field(factory=list)
     #: Fault that is injected into answers to requests: ok (none), refuse, error, hang,
     #: reset, cut, no_stamp, foreign.
-    mood: str = "ok"
+    fault: str = "ok"
     #: Fault that is injected into answers to migration calls: ok (none), no_room, lost
     #: (the call is carried out, but its answer is not sent), gone.
-    move_mood: str = "ok"
+    move_fault: str = "ok"
     #: Connection and next event number of the running streams, by request id.
     streams: dict[str, list] = field(factory=dict)
     #: Request id and next event number of the KV cache copies held, by handle.
@@ -188,10 +188,10 @@
     ) -> None:
         call = json.loads(request.body)
         stream = target.streams.get(call["id"])
-        if target.move_mood == "no_room":
+        if target.move_fault == "no_room":
             connection.respond(503, Headers(), b"{}")
             return
-        if stream is None or target.move_mood == "gone":
+        if stream is None or target.move_fault == "gone":
             connection.respond(404, Headers(), b"{}")
             return
         destination = next(t for t in self.targets.values() if t.address == call["to"])
@@ -201,7 +201,7 @@
             target.copies[handle] = destination.copies[handle] = (call["id"], stream[1])
             stream[0].abort()
         body = json.dumps({"handle": handle, "made": stream[1] - 1}).encode()
-        if target.move_mood == "lost":
+        if target.move_fault == "lost":
             connection.abort()
         else:
             connection.respond(200, Headers(), body)
@@ -222,7 +222,7 @@
         answer = Headers((("Berylnotch-Request-Id", request_id),))
         handle = origin.partition("/")[2]
         copy = target.copies.get(handle)
-        if copy is None or copy[0] != request_id or target.mood == "refuse":
+        if copy is None or copy[0] != request_id or target.fault == "refuse":
             answer.add("Berylnotch-Not-Executed", "1")
             connection.respond(503, answer)
             return
@@ -247,7 +247,7 @@
         if origin is not None and not target.is_loading:
             self._resume(target, connection, headers, origin)
             return
-        if target.is_loading or target.mood == "refuse":
+        if target.is_loading or target.fault == "refuse":
             refusal = Headers(
                 (
                     ("Berylnotch-Request-Id", request_id),
@@ -258,15 +258,15 @@
             return
         target.runs.append(request_id)
         answer = Headers((("Berylnotch-Request-Id", request_id),))
-        if target.mood != "no_stamp":
+        if target.fault != "no_stamp":
             answer.add("Berylnotch-Server-Stamp", f"stamp-{target.target_id}")
-        if target.mood == "hang":
+        if target.fault == "hang":
             return
-        if target.mood == "reset":
+        if target.fault == "reset":
             connection.abort()
-        elif target.mood == "error":
+        elif target.fault == "error":
             connection.respond(500, answer, b"failed")
-        elif target.mood == "foreign":
+        elif target.fault == "foreign":
             other = Headers(
                 (
                     ("Berylnotch-Request-Id", "somebody-else"),
@@ -295,7 +295,7 @@
         def send(number: int) -> None:
             if connection.is_closed or target.streams.get(request_id) is not stream:
                 return
-            if target.mood == "cut" and number == after + 3:
+            if target.fault == "cut" and number == after + 3:
                 connection.send_piece(b"id: %d\nda" % number)
                 connection.abort()
                 return
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -50,7 +50,7 @@
 """
 
 
-def until(condition, description: str, timeout_s: float = DEFAULT_TIMEOUT_S):
+def wait_until(condition, description: str, timeout_s: float = DEFAULT_TIMEOUT_S):
     """Wait until a condition returns a true value, and return that value."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
@@ -285,13 +285,13 @@
     def put(self, values: dict | bytes) -> Answer:
         """Put a configuration, and retry until a controller answers."""
         body = values if isinstance(values, bytes) else json.dumps(values).encode()
-        return until(
+        return wait_until(
             lambda: self.operator("PUT", "/config", body), "an answer to PUT /config"
         )
 
     def name_weights(self, version: int) -> Answer:
         body = json.dumps({"model": MODEL, "version": version}).encode()
-        return until(
+        return wait_until(
             lambda: self.operator("POST", "/version-put", body),
             "an answer to POST /version-put",
         )
@@ -344,9 +344,13 @@
     def wait_ready(self) -> None:
         """Wait until each router is ready and knows the targets."""
         for router in self.routers:
-            until(lambda r=router: self._is_ready(r), f"{router.name} to become ready")
+            wait_until(
+                lambda r=router: self._is_ready(r), f"{router.name} to become ready"
+            )
         for router in self.routers:
-            until(lambda r=router: self._serves(r), f"{router.name} to serve requests")
+            wait_until(
+                lambda r=router: self._serves(r), f"{router.name} to serve requests"
+            )
 
     def _is_ready(self, router: FleetProcess) -> bool:
         answer = _request(router.ip, self.base_port + 2, "GET", "/readyz", {}, b"", 1.0)
--- a/tests/test_control/test_state.py
+++ b/tests/test_control/test_state.py
@@ -230,7 +230,7 @@
     harness = configured_harness()
     harness.run(give_key(1))
     before = harness.state.snapshot()
-    encode_frozen_snapshot = harness.state.freeze()
+    encode_frozen_snapshot = harness.state.prepare_snapshot()
     harness.run(WithdrawKey("w-1", "asha", "k1"))
     harness.run(claim())
     assert encode_frozen_snapshot() == before
@@ -256,10 +256,10 @@
     harness.run(ReportCrash(b"f", "sake-llm-1", "i1"), at_ms=10**7)
     harness.run(ReportCrash(b"f", "sake-llm-2", "i1"), at_ms=10**7 + 1)
     view = harness.state.view
-    assert view.crash_targets(b"f") == {"sake-llm-1", "sake-llm-2"}
-    assert view.crash_targets(b"f", 10**7 + CRASH_RETENTION_MS) == {"sake-llm-2"}
+    assert view.targets_lost_with(b"f") == {"sake-llm-1", "sake-llm-2"}
+    assert view.targets_lost_with(b"f", 10**7 + CRASH_RETENTION_MS) == {"sake-llm-2"}
     harness.run(ReportCrash(b"g", "sake-llm-1", "i1"), at_ms=10**7 + CRASH_RETENTION_MS)
-    assert view.crash_targets(b"f") == {"sake-llm-2"}
+    assert view.targets_lost_with(b"f") == {"sake-llm-2"}
 
 
 def test_key_of_removed_organisation_is_not_accepted():
--- a/tests/test_daemon/conftest.py
+++ b/tests/test_daemon/conftest.py
@@ -5,7 +5,7 @@
 import pytest
 from attrs import frozen
 
-from berylnotch.keys.keyring import NewKey
+from berylnotch.keys.keyring import GeneratedKey
 from berylnotch.standins.caller import CallerClient
 from berylnotch.standins.fleet import LocalFleet, wait_for
 from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
@@ -87,7 +87,7 @@
     """A small fleet that several tests use, and a key for it."""
 
     small: SmallFleet
-    key: NewKey
+    key: GeneratedKey
 
 
 @pytest.fixture
--- a/tests/test_daemon/test_fleet.py
+++ b/tests/test_daemon/test_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from berylnotch.daemon.fleet.replica_host import CONSENSUS
-from tests.fleet.processes import configuration, in_threads, until
+from tests.fleet.processes import configuration, in_threads, wait_until
 
 LEASE_S = CONSENSUS.lease_s
 
@@ -43,7 +43,7 @@
 
 def test_answers_503_before_the_first_configuration(fleet):
     router = fleet.routers[0]
-    answer = until(lambda: fleet.ask(router, "/book/x", "early"), "an answer")
+    answer = wait_until(lambda: fleet.ask(router, "/book/x", "early"), "an answer")
     assert answer.status == 503
     assert float(answer.headers["Retry-After"]) > 0
 
@@ -55,7 +55,7 @@
         controller.kill()
     for controller in fleet.controllers:
         controller.start()
-    held = until(lambda: fleet.operator("GET", "/config"), "the configuration")
+    held = wait_until(lambda: fleet.operator("GET", "/config"), "the configuration")
     assert json.loads(held.body) == configuration(7, timeoutMs=4321)
 
 
@@ -63,14 +63,14 @@
     fleet.make_ready()
     assert fleet.put(configuration(3, timeoutMs=1111)).status == 200
     assert fleet.put(configuration(2)).status == 200
-    held = until(lambda: fleet.operator("GET", "/config"), "the configuration")
+    held = wait_until(lambda: fleet.operator("GET", "/config"), "the configuration")
     assert json.loads(held.body) == configuration(3)
 
 
 def test_invalid_configuration_changes_nothing_and_is_logged(fleet):
     fleet.make_ready()
     assert fleet.put(json.dumps(configuration(9)).encode()[:-20]).status == 400
-    held = until(lambda: fleet.operator("GET", "/config"), "the configuration")
+    held = wait_until(lambda: fleet.operator("GET", "/config"), "the configuration")
     assert json.loads(held.body)["version"] == 3
 
     def refused():
@@ -81,12 +81,12 @@
             if line.get("event") == "operator_call" and line["status"] == "400"
         ]
 
-    assert "not JSON" in until(refused, "a line in the log")[0]["reason"]
+    assert "not JSON" in wait_until(refused, "a line in the log")[0]["reason"]
 
 
 def test_leader_that_was_suspended_never_answers_with_an_older_version(fleet):
     fleet.make_ready()
-    frozen = until(fleet.leader, "a leader")
+    frozen = wait_until(fleet.leader, "a leader")
     frozen.signal(signal.SIGSTOP)
     assert fleet.put(configuration(11)).status == 200
     frozen.signal(signal.SIGCONT)
@@ -99,7 +99,7 @@
 
 def test_controller_with_a_wiped_disk_joins_again(fleet):
     fleet.make_ready()
-    leader = until(fleet.leader, "a leader")
+    leader = wait_until(fleet.leader, "a leader")
     wiped = next(c for c in fleet.controllers if c is not leader)
     wiped.kill()
     for path in sorted(wiped.data.rglob("*"), reverse=True):
@@ -125,14 +125,14 @@
             for line in changes
         )
 
-    until(has_joined, "the wiped controller is a voter again")
+    wait_until(has_joined, "the wiped controller is a voter again")
 
 
 def test_stream_cut_by_its_engine_resumes_at_another_one(fleet, platform):
     fleet.make_ready()
     for name in ("llm-1", "llm-2"):
         platform.targets[name].events = 8
-    platform.targets["llm-1"].mood = "cut"
+    platform.targets["llm-1"].fault = "cut"
     for number in range(6):
         answer = fleet.ask(fleet.routers[0], "/chat/x", f"cut-{number}")
         assert answer.status == 200 and answer.is_whole
@@ -140,12 +140,12 @@
         assert answer.body == b"".join(expected)
 
 
-@pytest.mark.parametrize("moods", [("cut", "error"), ("error", "cut")])
-def test_stream_whose_resumption_fails_is_aborted(fleet, platform, moods):
+@pytest.mark.parametrize("faults", [("cut", "error"), ("error", "cut")])
+def test_stream_whose_resumption_fails_is_aborted(fleet, platform, faults):
     fleet.make_ready()
-    for name, mood in zip(("llm-1", "llm-2"), moods, strict=True):
+    for name, fault in zip(("llm-1", "llm-2"), faults, strict=True):
         platform.targets[name].events = 8
-        platform.targets[name].mood = mood
+        platform.targets[name].fault = fault
     data = fleet.ask_raw(fleet.routers[0], "/chat/x", "resume-error")
     assert data.startswith(b"HTTP/1.1 200 ") and data.count(b"HTTP/1.1") == 1
     assert b"piece 2" in data and not data.endswith(b"0\r\n\r\n")
@@ -154,7 +154,7 @@
 def test_non_idempotent_request_runs_once_when_its_answer_is_lost(fleet, platform):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
-        platform.targets[name].mood = "reset"
+        platform.targets[name].fault = "reset"
     answer = fleet.ask(fleet.routers[0], "/book/x", "once")
     assert answer.status == 502
     runs = [r for t in platform.targets.values() for r in t.runs]
@@ -164,7 +164,7 @@
 def test_refusal_by_every_target_is_forwarded_as_not_run(fleet, platform):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
-        platform.targets[name].mood = "refuse"
+        platform.targets[name].fault = "refuse"
     answer = fleet.ask(fleet.routers[0], "/book/x", "refused")
     assert answer.status == 503 and "Retry-After" in answer.headers
     assert "Berylnotch-Server-Stamp" not in answer.headers
@@ -172,11 +172,13 @@
     assert "refused" not in runs
 
 
-@pytest.mark.parametrize("mood", ["no_stamp", "foreign"])
-def test_unstamped_or_foreign_answer_is_not_forwarded_as_success(fleet, platform, mood):
+@pytest.mark.parametrize("fault", ["no_stamp", "foreign"])
+def test_unstamped_or_foreign_answer_is_not_forwarded_as_success(
+    fleet, platform, fault
+):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
-        platform.targets[name].mood = mood
+        platform.targets[name].fault = fault
     answer = fleet.ask(fleet.routers[0], "/book/x", "odd", deadline_ms="600")
     assert answer.status in (502, 504)
     assert b"another" not in answer.body
@@ -184,7 +186,7 @@
 
 def test_idempotent_request_to_a_hanging_target_is_retried(fleet, platform):
     fleet.make_ready()
-    platform.targets["desk-1"].mood = "hang"
+    platform.targets["desk-1"].fault = "hang"
     for number in range(6):
         answer = fleet.ask(fleet.routers[0], "/read/x", f"h-{number}", "GET")
         assert answer.status == 200
@@ -194,7 +196,7 @@
     fleet.make_ready()
     platform.targets["desk-1"].is_leaving = True
     calls = platform.list_calls
-    until(lambda: platform.list_calls > calls + 3, "the list was read")
+    wait_until(lambda: platform.list_calls > calls + 3, "the list was read")
     before = len(platform.targets["desk-1"].seen)
     for number in range(10):
         assert fleet.ask(fleet.routers[0], "/book/x", f"l-{number}").status == 200
@@ -217,7 +219,7 @@
     fleet.make_ready()
     assert fleet.name_weights(2).status == 200
     engines = [platform.targets["llm-1"], platform.targets["llm-2"]]
-    until(lambda: all(e.version == 2 for e in engines), "new weights everywhere")
+    wait_until(lambda: all(e.version == 2 for e in engines), "new weights everywhere")
     orders = [order for e in engines for order in e.orders]
     assert {order["op"] for order in orders} == {"version"}
     assert len({(order["holder"], order["fence"]) for order in orders}) == 1
@@ -226,12 +228,12 @@
         answer = fleet.ask(fleet.routers[0], "/chat/x", f"w-{time.monotonic()}")
         return answer is not None and answer.status == 200
 
-    until(is_served_by_new_weights, "a stream on the new weights")
+    wait_until(is_served_by_new_weights, "a stream on the new weights")
 
 
 def test_engine_that_routers_ejected_still_loads_new_weights(fleet, platform):
     fleet.make_ready()
-    platform.targets["llm-1"].mood = "reset"
+    platform.targets["llm-1"].fault = "reset"
     for number in range(8):
         for router in fleet.routers:
             parts = {"Berylnotch_Prefix_Hash": f"a{number}:2000,b{number}:1000"}
@@ -239,7 +241,7 @@
     # Routers report the targets that they ejected several times per second.
     time.sleep(1.0)
     assert fleet.name_weights(2).status == 200
-    until(lambda: platform.targets["llm-1"].version == 2, "new weights there")
+    wait_until(lambda: platform.targets["llm-1"].version == 2, "new weights there")
 
 
 def test_withdrawn_key_is_refused_by_all_routers(fleet):
@@ -251,7 +253,7 @@
         return answer is not None and answer.status == 401
 
     for router in fleet.routers:
-        until(lambda r=router: is_refused(r), "the key is refused")
+        wait_until(lambda r=router: is_refused(r), "the key is refused")
         assert fleet.ask(router, "/book/x", "k-new", key="other-key").status == 200
 
 
@@ -274,7 +276,7 @@
 
 def test_fleet_serves_while_the_leader_dies(fleet):
     fleet.make_ready()
-    leader = until(fleet.leader, "a leader")
+    leader = wait_until(fleet.leader, "a leader")
     leader.kill()
     statuses = [
         fleet.ask(fleet.routers[n % 2], "/book/x", f"d-{n}").status for n in range(40)
--- a/tests/test_daemon/test_fleet_logs.py
+++ b/tests/test_daemon/test_fleet_logs.py
@@ -7,7 +7,7 @@
 from berylnotch.cmd import why_request
 from berylnotch.daemon.fleet.replica_host import CONSENSUS
 from berylnotch.transport.link import LinkSettings
-from tests.fleet.processes import gauge, until
+from tests.fleet.processes import gauge, wait_until
 
 LEASE_S = CONSENSUS.lease_s
 
@@ -19,14 +19,14 @@
 
 def test_log_contains_the_cause_of_a_failed_request(fleet, platform):
     fleet.make_ready()
-    platform.targets["desk-1"].mood = "reset"
-    platform.targets["desk-2"].mood = "reset"
+    platform.targets["desk-1"].fault = "reset"
+    platform.targets["desk-2"].fault = "reset"
     fleet.ask(fleet.routers[0], "/book/x", "why-me")
 
     def lines():
         return [f for f in fleet.routers[0].lines() if f.get("id") == "why-me"]
 
-    logged = until(
+    logged = wait_until(
         lambda: [f for f in lines() if f["event"] == "finished"] and lines(), "lines"
     )
     events = [line["event"] for line in logged]
@@ -41,7 +41,7 @@
     router = fleet.routers[0]
     assert fleet.ask(router, "/chat/x", "m-1").status == 200
     for name in ("desk-1", "desk-2"):
-        platform.targets[name].mood = "refuse"
+        platform.targets[name].fault = "refuse"
     assert fleet.ask(router, "/book/x", "m-2").status == 503
     text = fleet.metrics(router)
     assert 'berylnotch_first_event_seconds{route="chat",quantile="0.99"}' in text
@@ -49,7 +49,7 @@
     assert "berylnotch_refusals_total{reason=" in text
     assert "berylnotch_configuration_version 3" in text
     assert "berylnotch_ready 1" in text and "berylnotch_has_leader 1" in text
-    leader = until(fleet.leader, "a leader")
+    leader = wait_until(fleet.leader, "a leader")
     text = fleet.metrics(leader)
     assert "berylnotch_leader 1" in text and "berylnotch_routers 2" in text
     assert "berylnotch_target_list_age_seconds" in text
@@ -63,17 +63,17 @@
 
 def test_resumed_leader_exports_no_lease_age(fleet):
     fleet.make_ready()
-    leader = until(fleet.leader, "a leader")
+    leader = wait_until(fleet.leader, "a leader")
     other_controllers = [c for c in fleet.controllers if c is not leader]
     leader.signal(signal.SIGSTOP)
-    until(
+    wait_until(
         lambda: any(
             "berylnotch_leader 1" in fleet.metrics(c) for c in other_controllers
         ),
         "another leader",
     )
     leader.signal(signal.SIGCONT)
-    until(
+    wait_until(
         lambda: "berylnotch_lease_age_seconds" not in fleet.metrics(leader),
         "the resumed leader to export no lease age",
     )
@@ -88,13 +88,13 @@
         text = capsys.readouterr().out
         return text if code == 0 and "not finished" not in text else None
 
-    return until(explanation, "an explanation")
+    return wait_until(explanation, "an explanation")
 
 
 def test_why_tool_explains_a_refusal(fleet, platform, capsys):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
-        platform.targets[name].mood = "refuse"
+        platform.targets[name].fault = "refuse"
     fleet.ask(fleet.routers[0], "/book/x", "why-1")
     text = _explain(fleet, "why-1", capsys)
     assert text.startswith("request why-1: refused with status 503")
@@ -105,7 +105,7 @@
 def test_why_tool_explains_an_unknown_outcome(fleet, platform, capsys):
     fleet.make_ready()
     for name in ("desk-1", "desk-2"):
-        platform.targets[name].mood = "reset"
+        platform.targets[name].fault = "reset"
     fleet.ask(fleet.routers[0], "/book/x", "why-2")
     text = _explain(fleet, "why-2", capsys)
     assert text.startswith(
@@ -119,7 +119,7 @@
     fleet.make_ready()
     for name in ("llm-1", "llm-2"):
         platform.targets[name].events = 8
-        platform.targets[name].mood = "cut"
+        platform.targets[name].fault = "cut"
     answer = fleet.ask(fleet.routers[0], "/chat/x", "why-3")
     assert not answer.is_whole
     text = _explain(fleet, "why-3", capsys)
--- a/tests/test_daemon/test_fleet_moves.py
+++ b/tests/test_daemon/test_fleet_moves.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.fleet.processes import FleetOfProcesses, configuration, until
+from tests.fleet.processes import FleetOfProcesses, configuration, wait_until
 
 EVENTS = 60
 EVENT_INTERVAL_S = 0.04
@@ -44,7 +44,7 @@
     for thread in threads:
         thread.start()
     engines = [t for t in platform.targets.values() if t.service == "llm"]
-    until(
+    wait_until(
         lambda: sum(len(e.streams) for e in engines) == STREAMS,
         "all streams in progress",
     )
@@ -52,7 +52,7 @@
     assert fleet.name_weights(2).status == 200
     for thread in threads:
         thread.join()
-    until(lambda: all(e.version == 2 for e in engines), "new weights everywhere")
+    wait_until(lambda: all(e.version == 2 for e in engines), "new weights everywhere")
     return answers, engines
 
 
@@ -75,10 +75,10 @@
     assert sum(len(engine.resumed) for engine in engines) > 0
 
 
-@pytest.mark.parametrize("mood", ["no_room", "gone"])
-def test_runs_that_cannot_move_finish_on_their_engine(fleet, platform, mood):
+@pytest.mark.parametrize("fault", ["no_room", "gone"])
+def test_runs_that_cannot_move_finish_on_their_engine(fleet, platform, fault):
     for target in platform.targets.values():
-        target.move_mood = mood
+        target.move_fault = fault
     start_serving(fleet, resumable=False)
     answers, engines = stream_during_rollout(fleet, platform)
     assert_complete(answers)
@@ -87,7 +87,7 @@
 
 def test_unanswered_move_neither_truncates_nor_repeats_a_run(fleet, platform):
     for target in platform.targets.values():
-        target.move_mood = "lost"
+        target.move_fault = "lost"
     start_serving(fleet, resumable=False)
     answers, engines = stream_during_rollout(fleet, platform)
     assert_complete(answers)
--- a/tests/test_daemon/test_fleet_silence.py
+++ b/tests/test_daemon/test_fleet_silence.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.fleet.processes import until
+from tests.fleet.processes import wait_until
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
     for engine in engines:
         engine.events, engine.event_pause_s = int(pause_s / 0.2) + 4, 0.2
     thread, answers = _stream_in_background(fleet, fleet.routers[0], "running")
-    until(lambda: any("running" in e.runs for e in engines), "the stream to start")
+    wait_until(lambda: any("running" in e.runs for e in engines), "the stream to start")
     for controller in fleet.controllers:
         controller.signal(signal.SIGSTOP)
     time.sleep(pause_s)
@@ -59,7 +59,7 @@
     router.signal(signal.SIGCONT)
     thread.join()
     assert sum(desk.runs.count("frozen") for desk in desks) <= 1
-    answer = until(
+    answer = wait_until(
         lambda: (lambda a: a if a and a.status == 200 else None)(
             fleet.ask(router, "/book/x", f"after-{time.monotonic()}")
         ),
--- a/tests/test_daemon/test_fleet_start.py
+++ b/tests/test_daemon/test_fleet_start.py
@@ -5,7 +5,7 @@
 import pytest
 
 from berylnotch.daemon.fleet.leader import TARGETS_BATCH_S
-from tests.fleet.processes import FleetOfProcesses, gauge, until
+from tests.fleet.processes import FleetOfProcesses, gauge, wait_until
 
 
 @pytest.fixture
@@ -32,13 +32,15 @@
     fleet.start()
     fleet.make_ready()
     # Routers are ready after the first page, maybe before the second one arrived.
-    until(lambda: _is_listed(fleet, "desk-2"), "the whole list at the leader")
+    wait_until(lambda: _is_listed(fleet, "desk-2"), "the whole list at the leader")
     time.sleep(10 * TARGETS_BATCH_S)
     platform.readable_pages = 1
-    leader = until(fleet.leader, "a leader")
+    leader = wait_until(fleet.leader, "a leader")
     leader.kill()
     router = fleet.routers[0]
-    until(lambda: _leaders_found_count(router) == 2, "the router at the next leader")
+    wait_until(
+        lambda: _leaders_found_count(router) == 2, "the router at the next leader"
+    )
     platform.stop("desk-1")
     statuses = [fleet.ask(router, "/read/x", f"r-{n}", "GET").status for n in range(20)]
     assert statuses == [200] * 20
@@ -49,9 +51,13 @@
     fleet.start()
     fleet.make_ready()
     calls = platform.list_calls
-    until(lambda: platform.list_calls > calls + 4, "more readings of the first page")
+    wait_until(
+        lambda: platform.list_calls > calls + 4, "more readings of the first page"
+    )
     heard_s = _heard_s(fleet)
-    until(lambda: platform.list_calls > calls + 8, "more readings of the first page")
+    wait_until(
+        lambda: platform.list_calls > calls + 8, "more readings of the first page"
+    )
     later_s = _heard_s(fleet)
     assert later_s > heard_s
 
--- a/tests/test_keys/test_keys.py
+++ b/tests/test_keys/test_keys.py
@@ -6,11 +6,11 @@
 
 from berylnotch.keys.errors import KeyExistsError
 from berylnotch.keys.freshness import Freshness
-from berylnotch.keys.keyring import HeldKey, Keyring, hash_key, new_key
+from berylnotch.keys.keyring import AcceptedKey, Keyring, generate_key, hash_key
 
 
 def test_new_keys_differ_and_hash_depends_on_secret():
-    first, second = new_key(), new_key()
+    first, second = generate_key(), generate_key()
     assert first.key != second.key
     assert first.key_id in first.key
     assert hash_key(b"a", first.key) == hash_key(b"a", first.key)
@@ -20,9 +20,12 @@
 
 def test_keyring_adds_finds_and_removes_keys():
     keyring = Keyring()
-    key = HeldKey("k1", "clerks", b"h" * 32)
+    key = AcceptedKey("k1", "clerks", b"h" * 32)
     keyring.add(key)
-    for duplicate in (HeldKey("k1", "x", b"i" * 32), HeldKey("k2", "x", b"h" * 32)):
+    for duplicate in (
+        AcceptedKey("k1", "x", b"i" * 32),
+        AcceptedKey("k2", "x", b"h" * 32),
+    ):
         with pytest.raises(KeyExistsError):
             keyring.add(duplicate)
     assert keyring.find_by_hash(b"h" * 32) == key
--- a/tests/test_net/test_endless.py
+++ b/tests/test_net/test_endless.py
@@ -6,7 +6,7 @@
 
 from berylnotch.net.client import MAX_OVERHEAD_BYTES, ClientConnection, Failure
 from berylnotch.net.fetch import fetch
-from tests.fleet.processes import until
+from tests.fleet.processes import wait_until
 from tests.test_net.support import RawServer
 from tests.test_net.test_client import REQUEST, Sink, loop
 
@@ -83,7 +83,7 @@
     endless = Endless(SHORT, b"more" * (PIECE // 4))
     sink, connection = answer_of(loop, endless)
     assert (sink.result, sink.body) == ("complete", b"good")
-    until(lambda: connection.is_closed, "the end of the connection")
+    wait_until(lambda: connection.is_closed, "the end of the connection")
     assert endless.sent < ON_THE_WAY
 
 
