--- a/soak/run.py
+++ b/soak/run.py
@@ -27,7 +27,7 @@
 #: Seconds in which a process ends after SIGTERM, at the most.
 STOP_S = 8.0
 
-#: Moods of targets that a soak brings about.
+#: Faults of targets that a soak injects.
 FAULTS = ("refuse", "error", "hang", "reset", "cut", "no_stamp", "foreign")
 
 #: Longest wait for the proxies to close, in seconds.
--- a/tests/test_util/test_coalesced_action.py
+++ b/tests/test_util/test_coalesced_action.py
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def coalesced():
-    """A gathering, its loop, and what its action left."""
+    """A coalesced action, its loop, and the list that its action extends."""
     loop, runs = Loop(), []
     return (
         CoalescedAction(loop, lambda: runs.append("run"), lambda: PAUSE_S),
