--- a/berylnotch/daemon/fleet/controller.py
+++ b/berylnotch/daemon/fleet/controller.py
@@ -10,7 +10,7 @@
 from berylnotch.daemon.fleet.operators import OperatorsInterface
 from berylnotch.daemon.fleet.peers import PeerLinks
 from berylnotch.daemon.fleet.replica_host import ReplicaHost
-from berylnotch.daemon.fleet.seekers import Seekers
+from berylnotch.daemon.fleet.waiting_routers import WaitingRouters
 from berylnotch.group.messages import (
     CONTROLLER_MESSAGES,
     JoinRequest,
@@ -18,7 +18,7 @@
     RouterReport,
 )
 from berylnotch.group.state import FleetState
-from berylnotch.membership.naming import WeightsNames
+from berylnotch.membership.announced_weights import AnnouncedWeights
 from berylnotch.net.sockets import Acceptor
 from berylnotch.quota.messages import GrantRequest
 from berylnotch.settings.fleet import FleetSettings
@@ -62,10 +62,10 @@
         self._log = log
         self._link_settings = LinkSettings()
         self._state = FleetState()
-        self._weight_versions = WeightsNames()
+        self._announced_weights = AnnouncedWeights()
         self._leader: Leader | None = None
         self._links: set[Link] = set()
-        self._seekers = Seekers()
+        self._waiting_routers = WaitingRouters()
         self._peers = PeerLinks(
             loop, CONTROLLER_MESSAGES, self._receive, log, self._link_settings
         )
@@ -117,7 +117,7 @@
 
     def _on_link_closed(self, link: Link, reason: str) -> None:
         self._links.discard(link)
-        self._seekers.lost(link)
+        self._waiting_routers.remove(link)
         if self._leader is not None:
             self._leader.registry.on_link_closed(link, reason)
 
@@ -134,7 +134,7 @@
             if self._is_leader_known():
                 self._answer_report(link, message)
             else:
-                self._seekers.add(link, message, boot_time())
+                self._waiting_routers.add(link, message, boot_time())
         elif isinstance(message, GrantRequest):
             if self._leader is not None and self._host.is_active():
                 self._leader.answer_grant_request(link, message)
@@ -157,13 +157,15 @@
 
     def _on_applied(self) -> None:
         for named in self._state.weights:
-            self._weight_versions.note(named.name, named.version, boot_time())
+            self._announced_weights.record(named.name, named.version, boot_time())
         if self._leader is not None:
             self._leader.on_applied()
 
     def _poll_leadership(self) -> None:
         self._check_leadership()
-        for link, report in self._seekers.take(boot_time(), self._is_leader_known()):
+        for link, report in self._waiting_routers.pop_due(
+            boot_time(), self._is_leader_known()
+        ):
             self._answer_report(link, report)
 
     def _check_leadership(self) -> None:
@@ -175,7 +177,7 @@
                 self._loop,
                 self._host,
                 self._state,
-                self._weight_versions,
+                self._announced_weights,
                 self._log,
             )
             self._leader.start()
@@ -211,7 +213,7 @@
             metrics.gauge("berylnotch_routers", float(self._leader.registry.count))
             dropped = self._leader.notes_dropped
             metrics.gauge("berylnotch_prompt_notes_dropped", float(dropped))
-            listed_at = self._leader.board.listed_at
+            listed_at = self._leader.inventory.listed_at
             if listed_at is not None:
                 age_s = boot_time() - listed_at
                 metrics.gauge("berylnotch_target_list_age_seconds", age_s)
--- a/berylnotch/daemon/fleet/leader.py
+++ b/berylnotch/daemon/fleet/leader.py
@@ -5,18 +5,18 @@
 from attrs import evolve
 
 from berylnotch.daemon.fleet.notes import NoteFilter
-from berylnotch.daemon.fleet.order_right import OrderRight
+from berylnotch.daemon.fleet.order_lease import OrderLease
 from berylnotch.daemon.fleet.registry import RouterRegistry
 from berylnotch.daemon.fleet.replica_host import ReplicaHost
-from berylnotch.daemon.fleet.stores import StoreWatch
-from berylnotch.daemon.fleet.watch import TargetWatch
+from berylnotch.daemon.fleet.stores import StoreMonitor
+from berylnotch.daemon.fleet.watch import TargetListReader
 from berylnotch.daemon.fleet.weights import WeightsRollout
 from berylnotch.group.columns import is_store
 from berylnotch.group.messages import RouterReport, TargetEntry, TargetsUpdate
 from berylnotch.group.state import FleetState
-from berylnotch.membership.board import TargetBoard
+from berylnotch.membership.announced_weights import AnnouncedWeights
+from berylnotch.membership.inventory import TargetInventory
 from berylnotch.membership.listing import ListedTarget
-from berylnotch.membership.naming import WeightsNames
 from berylnotch.platform.configuration import decode_configuration
 from berylnotch.quota.bounds import FLEET_QUOTA, effective_limits
 from berylnotch.quota.messages import GrantRequest
@@ -24,7 +24,7 @@
 from berylnotch.settings.fleet import FleetSettings
 from berylnotch.transport.link import Link
 from berylnotch.util.clock import boot_time
-from berylnotch.util.gathering import Gathering
+from berylnotch.util.coalesced_action import CoalescedAction
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
@@ -79,7 +79,7 @@
         Replica that commits commands and tells whether it has the lease.
     state : FleetState
         Replicated state.
-    weight_versions : WeightsNames
+    announced_weights : AnnouncedWeights
         Versions of weights that operators named, with the times.
     log : EventLog
         Log of the process.
@@ -91,31 +91,31 @@
         loop: Loop,
         host: ReplicaHost,
         state: FleetState,
-        weight_versions: WeightsNames,
+        announced_weights: AnnouncedWeights,
         log: EventLog,
     ) -> None:
         self._settings = settings
         self._loop = loop
         self._host = host
         self._state = state
-        self._weight_versions = weight_versions
+        self._announced_weights = announced_weights
         self._log = log
-        self._board = TargetBoard()
-        self._roster_pushes = Gathering(
+        self._inventory = TargetInventory()
+        self._roster_pushes = CoalescedAction(
             loop,
             lambda: self.registry.push_roster(),
             lambda: ROSTER_PER_ROUTER_S * self.registry.count,
         )
-        self.registry = RouterRegistry(state, log, self._roster_pushes.soon)
-        self._prompt_pushes = Gathering(
+        self.registry = RouterRegistry(state, log, self._roster_pushes.schedule)
+        self._prompt_pushes = CoalescedAction(
             loop,
             self._push_notes,
             lambda: max(MIN_PROMPTS_S, PROMPTS_PER_ROUTER_S * self.registry.count),
         )
-        self._target_pushes = Gathering(
+        self._target_pushes = CoalescedAction(
             loop, self._push_targets_now, lambda: TARGETS_BATCH_S
         )
-        self._page_pushes = Gathering(
+        self._page_pushes = CoalescedAction(
             loop,
             self._push_pages,
             lambda: max(TARGETS_BATCH_S, PAGES_PER_ROUTER_S * self.registry.count),
@@ -128,7 +128,7 @@
         self._limits = {}
         self._limits_version = 0
         self._is_closed = False
-        self._order_right = OrderRight(
+        self._order_lease = OrderLease(
             settings,
             loop,
             state,
@@ -139,9 +139,9 @@
         )
         self._rollout = WeightsRollout(
             loop,
-            self._board,
-            weight_versions,
-            self._order_right,
+            self._inventory,
+            announced_weights,
+            self._order_lease,
             host.is_active,
             self.registry.requests,
             self.registry.long_requests,
@@ -152,10 +152,10 @@
             self.push_targets,
             log,
         )
-        self._store_watch = StoreWatch(loop, self.push_targets, log)
-        self._target_watch: TargetWatch | None = None
+        self._store_monitor = StoreMonitor(loop, self.push_targets, log)
+        self._target_list_reader: TargetListReader | None = None
         if settings.target_list is not None:
-            self._target_watch = TargetWatch(
+            self._target_list_reader = TargetListReader(
                 loop,
                 settings.target_list,
                 settings.target_list_period_s,
@@ -171,14 +171,14 @@
         return self._note_filter.dropped
 
     @property
-    def board(self) -> TargetBoard:
+    def inventory(self) -> TargetInventory:
         """Targets of the newest list, with their loads of weights."""
-        return self._board
+        return self._inventory
 
     def start(self) -> None:
         """Start the services of the leader."""
-        if self._target_watch is not None:
-            self._target_watch.start()
+        if self._target_list_reader is not None:
+            self._target_list_reader.start()
         self._loop.call_later(ROSTER_DELAY_S, self._complete_roster)
         self._loop.call_later(MIN_LOADS_S, self._push_loads)
 
@@ -189,11 +189,11 @@
         self._prompt_pushes.close()
         self._target_pushes.close()
         self._page_pushes.close()
-        self._order_right.close()
+        self._order_lease.close()
         self._rollout.close()
-        self._store_watch.close()
-        if self._target_watch is not None:
-            self._target_watch.close()
+        self._store_monitor.close()
+        if self._target_list_reader is not None:
+            self._target_list_reader.close()
 
     def on_applied(self) -> None:
         """Derive limits and updates from the newly applied state."""
@@ -209,7 +209,7 @@
                 if s.engine
             }
             stores = {s.store_address for s in configuration.services}
-            self._store_watch.watch(stores - {""})
+            self._store_monitor.watch(stores - {""})
         self.registry.push_configuration()
         self.push_targets()
         self._rollout.advance()
@@ -217,15 +217,17 @@
     def on_report(self, link: Link, report: RouterReport) -> None:
         """Process a router's report."""
         self.registry.on_report(link, report)
-        if report.leaving and self._board.said_leaving(report.name, report.leaving):
+        if report.leaving and self._inventory.add_leaving_notices(
+            report.name, report.leaving
+        ):
             self._log.info(
                 "targets_said_leaving",
                 router=report.name,
-                targets=",".join(sorted(self._board.leaving_by_word())),
+                targets=",".join(sorted(self._inventory.announced_leaving())),
             )
             self.push_targets()
         if report.prompts:
-            self._prompt_pushes.soon()
+            self._prompt_pushes.schedule()
 
     def _push_notes(self) -> None:
         notes = self.registry.take_notes()
@@ -235,7 +237,7 @@
         """Return the cache capacity of an engine in tokens; None for a store."""
         if is_store(holder):
             return None
-        target = self._board.target(holder)
+        target = self._inventory.target(holder)
         return (
             self._service_cache_tokens.get(target.service, 0)
             if target is not None
@@ -248,11 +250,11 @@
 
     def push_targets(self) -> None:
         """Send changed targets to the routers with the next batch."""
-        self._target_pushes.soon()
+        self._target_pushes.schedule()
 
     def _push_targets_now(self) -> None:
-        if self._board.listed_at is not None:
-            self.registry.push_targets(self._targets_update(self._board.entries()))
+        if self._inventory.listed_at is not None:
+            self.registry.push_targets(self._targets_update(self._inventory.entries()))
 
     def _push_pages(self) -> None:
         targets, self._unsent_page_targets = self._unsent_page_targets, []
@@ -260,26 +262,26 @@
         self.registry.push_pages(evolve(self._targets_update(entries), is_whole=False))
 
     def _targets_update(self, entries: tuple[TargetEntry, ...]) -> TargetsUpdate:
-        weight_versions = self._weight_versions.export(boot_time())
-        return TargetsUpdate(entries, weight_versions, self._store_watch.down)
+        weight_versions = self._announced_weights.with_ages(boot_time())
+        return TargetsUpdate(entries, weight_versions, self._store_monitor.down)
 
     def _on_page(self, targets: tuple[ListedTarget, ...]) -> None:
         """Forward a page of the first target list that this leader reads.
 
         After a power loss, routers know no targets until a page arrives.
         """
-        if self._board.listed_at is None and self._host.is_active():
+        if self._inventory.listed_at is None and self._host.is_active():
             self._unsent_page_targets += targets
-            self._page_pushes.soon()
+            self._page_pushes.schedule()
 
     def _on_list(self, targets: tuple[ListedTarget, ...]) -> None:
         if self._is_closed or not self._host.is_active():
             return
-        is_first = self._board.listed_at is None
-        previous = {t.target_id: t for t in self._board.targets()}
+        is_first = self._inventory.listed_at is None
+        previous = {t.target_id: t for t in self._inventory.targets()}
         self._page_pushes.close()
-        self._board.listed(boot_time(), targets)
-        for target in self._board.targets():
+        self._inventory.replace_targets(boot_time(), targets)
+        for target in self._inventory.targets():
             old = previous.pop(target.target_id, None)
             if old is not None and old.born_ms != target.born_ms:
                 self._note_filter.forget_engine(target.target_id)
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -15,12 +15,12 @@
     apply_prompt_notes,
     apply_targets,
 )
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.context import EntryContext
-from berylnotch.entry.early import EarlyRequests
 from berylnotch.entry.exchange import Exchange
 from berylnotch.entry.quota_gate import QuotaGate
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.settings import EntrySettings
+from berylnotch.entry.startup_buffer import StartupBuffer
 from berylnotch.entry.targets import TargetTable
 from berylnotch.group.columns import NumberedTargets
 from berylnotch.group.messages import (
@@ -37,7 +37,7 @@
 from berylnotch.net.messages import Headers, HttpRequest
 from berylnotch.net.reading import HttpLimits
 from berylnotch.net.server import HttpServer, ServerConnection
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
 from berylnotch.platform.configuration import decode_configuration
 from berylnotch.platform.operators import (
     ADDRESS_PATH,
@@ -52,7 +52,7 @@
 from berylnotch.settings.fleet import FleetSettings
 from berylnotch.transport.link import LinkSettings
 from berylnotch.util.clock import boot_time
-from berylnotch.util.gathering import Gathering
+from berylnotch.util.coalesced_action import CoalescedAction
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 from berylnotch.util.metrics import Label, Metrics
@@ -117,7 +117,7 @@
         self.metrics = Metrics()
         entry_settings = EntrySettings()
         gate = QuotaGate(LocalQuota(FLEET_QUOTA), entry_settings.quota_wait_s)
-        self._quota_checks = Gathering(loop, self._check_quota, lambda: 0.0)
+        self._quota_checks = CoalescedAction(loop, self._check_quota, lambda: 0.0)
         self._context = EntryContext(
             settings=entry_settings,
             fleet=settings,
@@ -126,12 +126,12 @@
             metrics=self.metrics,
             targets=TargetTable(loop, entry_settings),
             gate=gate,
-            prompts=PromptMemory(),
+            prompts=CacheModel(),
             crashes=CrashGuard(entry_settings.membership),
-            ask_quota=self._quota_checks.soon,
+            ask_quota=self._quota_checks.schedule,
         )
         self._started_at = boot_time()
-        self._early_requests = EarlyRequests(
+        self._startup_buffer = StartupBuffer(
             loop, self._started_at + EXPECTED_STARTUP_S, self._admit_request
         )
         self._incarnation = os.urandom(8).hex()
@@ -155,7 +155,7 @@
             lambda: not self.is_ready,
             self._leader_link.send,
         )
-        self._context.report_soon = self._reports.soon
+        self._context.schedule_report = self._reports.schedule
         self._caller_server = HttpServer(
             loop,
             settings.listen,
@@ -185,7 +185,9 @@
         self._leader_link.start()
         self._reports.start()
         self._loop.call_every(QUOTA_CHECK_INTERVAL_S, self._check_quota)
-        self._loop.call_every(IDLE_CLOSE_INTERVAL_S, self._context.targets.close_old)
+        self._loop.call_every(
+            IDLE_CLOSE_INTERVAL_S, self._context.targets.close_expired
+        )
         self._log.info("started", callers=self._settings.listen)
 
     def drain(self, done: Callable[[], None]) -> None:
@@ -197,7 +199,7 @@
             Called when the router has drained, or shortly before the stop deadline.
         """
         self._is_leaving = True
-        self._early_requests.hand_on()
+        self._startup_buffer.release_all()
         self._reports.send()
         self._log.info("draining", requests=len(self._exchanges))
         address_lifetime_s = ADDRESS_TTL_S * MAX_TTL_FACTOR + REPORT_S
@@ -252,7 +254,7 @@
     def _serve(self, connection: ServerConnection, request: HttpRequest) -> None:
         if not self._has_targets and not self._is_leaving:
             deadline_s = decode_request(request).deadline_s
-            if self._early_requests.keep(connection, request, deadline_s):
+            if self._startup_buffer.add(connection, request, deadline_s):
                 return
         self._admit_request(connection, request)
 
@@ -286,10 +288,8 @@
                 id=caller.request_id,
                 reason=caller.chain.problem,
             )
-        admitted = Admitted(request, caller, route, organisation)
-        exchange = Exchange(
-            self._context, connection, admitted, self._exchanges.discard
-        )
+        routed = RoutedRequest(request, caller, route, organisation)
+        exchange = Exchange(self._context, connection, routed, self._exchanges.discard)
         self._exchanges.add(exchange)
         exchange.start()
 
@@ -340,7 +340,7 @@
             self._apply_configuration(message)
         elif isinstance(message, TargetsUpdate):
             self._targets_received_at = boot_time()
-            self._numbered_targets.take(message)
+            self._numbered_targets.store_numbers(message)
             apply_targets(self._context, message)
             self._release_early_requests()
         elif isinstance(message, RosterUpdate):
@@ -363,9 +363,9 @@
             apply_prompt_notes(self._context, self._numbered_targets.notes(message))
 
     def _release_early_requests(self) -> None:
-        if len(self._early_requests) and self._has_targets:
-            self._log.info("early_requests", count=len(self._early_requests))
-            self._early_requests.hand_on()
+        if len(self._startup_buffer) and self._has_targets:
+            self._log.info("early_requests", count=len(self._startup_buffer))
+            self._startup_buffer.release_all()
 
     def _apply_configuration(self, update: ConfigurationUpdate) -> None:
         current = self._context.routes
@@ -415,7 +415,7 @@
         metrics.gauge("berylnotch_targets_heard_seconds", targets_age_s)
         for service, budget in context.budgets_left().items():
             metrics.gauge("berylnotch_retry_budget", budget, Label("service", service))
-        for name, version in context.names.versions().items():
+        for name, version in context.announced_weights.versions().items():
             metrics.gauge(
                 "berylnotch_weights_version", float(version), Label("model", name)
             )
--- a/berylnotch/entry/signals.py
+++ b/berylnotch/entry/announcements.py
@@ -15,7 +15,7 @@
 BACK_OFF_SPREAD = 0.1
 
 
-def take_signals(
+def apply_announcements(
     context: EntryContext, target: Target, answer: AnswerHead, request_id: str
 ) -> None:
     """Apply what a target announces about itself in the headers of an answer.
@@ -35,7 +35,7 @@
     """
     if answer.is_leaving and not target.has_announced_leaving:
         context.targets.leaves(target)
-        context.report_soon()
+        context.schedule_report()
         context.metrics.count("berylnotch_targets_said_leaving_total")
         context.log.info(
             "target_leaves",
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
+from berylnotch.entry.announcements import apply_announcements
 from berylnotch.entry.events import MAX_EVENT_BYTES, EventSplitter
+from berylnotch.entry.failover import PendingAnswer, failover_at
 from berylnotch.entry.judging import forwarded_headers, is_encoded, response_problem
-from berylnotch.entry.moving import MovedRun, RunMove
-from berylnotch.entry.patience import Waiting, overdue_at
+from berylnotch.entry.migration import RunMigration, StoppedRun
 from berylnotch.entry.reading import PromptReading
 from berylnotch.entry.results import AttemptEnd, AttemptOwner, AttemptResult
-from berylnotch.entry.signals import take_signals
 from berylnotch.net.client import (
     ClientConnection,
     Failure,
@@ -26,9 +26,9 @@
 from berylnotch.util.metrics import Label
 
 if TYPE_CHECKING:
-    from berylnotch.entry.admitted import Admitted
     from berylnotch.entry.context import EntryContext
     from berylnotch.entry.model import Choice
+    from berylnotch.entry.routed_request import RoutedRequest
 
 #: Maximum size, in bytes, of a response that is not a stream.
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
@@ -59,7 +59,7 @@
         Shared state of the router.
     choice : Choice
         Target that the request is sent to.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     target_headers : TargetHeaders
         Values of the headers that are added for the target.
@@ -71,16 +71,16 @@
         self,
         context: EntryContext,
         choice: Choice,
-        admitted: Admitted,
+        routed: RoutedRequest,
         target_headers: TargetHeaders,
         owner: AttemptOwner,
     ) -> None:
         self._context = context
         self._target = choice.target
-        self._reading = PromptReading(context, choice, admitted, target_headers)
-        self._is_long = admitted.caller.chain.has_home
+        self._reading = PromptReading(context, choice, routed, target_headers)
+        self._is_long = routed.caller.chain.has_affinity
         self._expected_s = choice.delay_ms / 1000
-        self._admitted = admitted
+        self._routed = routed
         self._target_headers = target_headers
         self._owner = owner
         self._connection: ClientConnection | None = None
@@ -92,7 +92,7 @@
         self._last_event_at = 0.0
         self._has_ended = False
         self._attempt_id = id(self)
-        self._migration: RunMove | None = None
+        self._migration: RunMigration | None = None
         self._next_migration_at = 0.0
         #: Identities of the engines that did not take over the run.
         self._asked_destinations: set[str] = set()
@@ -107,14 +107,14 @@
 
     def start(self) -> None:
         """Send the request."""
-        target, route = self._target, self._admitted.route
-        request = encode_for_target(self._admitted.request, self._target_headers)
+        target, route = self._target, self._routed.route
+        request = encode_for_target(self._routed.request, self._target_headers)
         self._connection = self._context.targets.connect(target, route.is_repeatable)
         target.in_flight += 1
         target.long_in_flight += self._is_long
         self._reading.begin()
         self._sent_at = boot_time()
-        target.ejection.sent(self._sent_at, self._attempt_id)
+        target.ejection.on_sent(self._sent_at, self._attempt_id)
         self._connection.send(request, self)
         self._check_overdue()
 
@@ -139,10 +139,10 @@
         if self._has_ended:
             return
         if is_overdue and self._head is None:
-            self._target.ejection.failed(boot_time(), self._attempt_id)
+            self._target.ejection.on_failure(boot_time(), self._attempt_id)
             self._target.note_outcome(has_failed=True)
         else:
-            self._target.ejection.abandoned(self._attempt_id)
+            self._target.ejection.on_abandoned(self._attempt_id)
         self._count_result("overdue" if is_overdue else "cancelled")
         if self._migration is not None:
             self._migration.cancel()
@@ -151,25 +151,25 @@
 
     def _check_overdue(self) -> None:
         """End the attempt of a repeatable request if its response is overdue."""
-        if self._has_ended or not self._admitted.route.is_repeatable:
+        if self._has_ended or not self._routed.route.is_repeatable:
             return
         if self._migration is not None:
             self._context.loop.call_later(MIGRATION_RETRY_S, self._check_overdue)
             return
-        route, now = self._admitted.route, boot_time()
-        waiting = Waiting(
+        route, now = self._routed.route, boot_time()
+        pending = PendingAnswer(
             self._sent_at,
             self._expected_s,
-            self._admitted.is_stream,
+            self._routed.is_stream,
             self._head is not None,
             self._last_event_at if self._is_stream else 0.0,
             self._target.heard_at,
         )
-        due_at = overdue_at(self._context.settings, route, waiting)
+        due_at = failover_at(self._context.settings, route, pending)
         if now < due_at or not route.target_latency_s:
             delay_s = max(0.05, due_at - now)
             self._context.loop.call_later(delay_s, self._check_overdue)
-        elif self._owner.may_move():
+        elif self._owner.can_retry_elsewhere():
             waited_s = now - (self._last_event_at or self._sent_at)
             self.cancel(is_overdue=True)
             self._report_end(
@@ -181,10 +181,10 @@
     def on_head(self, head: ResponseHead) -> bool:
         """Accept the response head; skip the head of a response to another request."""
         answer = decode_answer(head.status, head.headers)
-        take_signals(
-            self._context, self._target, answer, self._admitted.caller.request_id
+        apply_announcements(
+            self._context, self._target, answer, self._routed.caller.request_id
         )
-        own_id = self._admitted.caller.request_id
+        own_id = self._routed.caller.request_id
         if not answer.request_id and head.status >= 300 and self._connection.is_reused:
             # It may be a late response to the previous request on this connection.
             self._abort("error response without a request id on a reused connection")
@@ -229,8 +229,8 @@
             if event.is_progress:
                 # Incomplete events and comments do not show progress of the run.
                 self._last_event_at = self._target.heard_at = boot_time()
-            self._owner.stream_began(200, forwarded_headers(self._head))
-            self._owner.event(event.data, event.number)
+            self._owner.on_stream_begin(200, forwarded_headers(self._head))
+            self._owner.on_event(event.data, event.number)
             if self._has_ended:
                 return
         if len(self._splitter.tail) > MAX_EVENT_BYTES:
@@ -271,12 +271,12 @@
             )
             return
         if status < 500:
-            target.ejection.succeeded(self._attempt_id, self._sent_at)
+            target.ejection.on_success(self._attempt_id, self._sent_at)
         else:
-            target.ejection.abandoned(self._attempt_id)
+            target.ejection.on_abandoned(self._attempt_id)
         target.note_outcome(status >= 500, boot_time() - self._sent_at)
         self._count_result(f"status-{status // 100}xx")
-        self._owner.ended(
+        self._owner.on_attempt_end(
             AttemptResult(
                 target,
                 AttemptEnd.ANSWERED,
@@ -295,14 +295,14 @@
             return
         self._release_target()
         target, now = self._target, boot_time()
-        target.ejection.failed(now, self._attempt_id)
+        target.ejection.on_failure(now, self._attempt_id)
         target.note_outcome(has_failed=True)
         if failure is Failure.NOT_SENT:
             # No process listens there any more, and its prefix cache is lost.
             self._context.prompts.forget_engine(target.target_id)
         self._context.log.warning(
             "attempt_failed",
-            id=self._admitted.caller.request_id,
+            id=self._routed.caller.request_id,
             target=target.target_id,
             failure=failure.value,
             reason=reason,
@@ -324,22 +324,22 @@
             return
         destination = None
         if len(self._asked_destinations) < MAX_MIGRATION_TARGETS:
-            destination = self._owner.refuge(self._asked_destinations)
+            destination = self._owner.choose_destination(self._asked_destinations)
         if destination is None:
             self._next_migration_at = now + MIGRATION_RETRY_S
             self._asked_destinations.clear()
             return
         self._asked_destinations.add(destination.target_id)
-        request_id = self._admitted.caller.request_id
-        self._migration = RunMove(
+        request_id = self._routed.caller.request_id
+        self._migration = RunMigration(
             self._context, request_id, self._target, destination, self._on_migration_end
         )
         self._migration.start()
 
-    def _on_migration_end(self, moved: MovedRun | None, is_sure: bool) -> None:
+    def _on_migration_end(self, moved: StoppedRun | None, is_sure: bool) -> None:
         migration, self._migration = self._migration, None
         if moved is not None:
-            self._target.ejection.succeeded(self._attempt_id, self._sent_at)
+            self._target.ejection.on_success(self._attempt_id, self._sent_at)
             self._release_target()
             self._connection.close()
             self._report_end(AttemptEnd.MOVED, "", moved=moved)
@@ -351,14 +351,14 @@
     def _on_refusal(self, status: int) -> None:
         """Back off from a target that refused the request without running it."""
         target = self._target
-        target.ejection.abandoned(self._attempt_id)
+        target.ejection.on_abandoned(self._attempt_id)
         pause_s = (
             FULL_TARGET_BACKOFF_S if status in (503, 429) else MISDIRECTED_BACKOFF_S
         )
         target.back_off(boot_time(), pause_s)
         self._context.log.warning(
             "target_refused",
-            id=self._admitted.caller.request_id,
+            id=self._routed.caller.request_id,
             target=target.target_id,
             status=status,
             load=target.load,
@@ -366,11 +366,11 @@
         self._report_end(AttemptEnd.NOT_RUN, f"refused with {status}")
 
     def _on_stream_complete(self) -> None:
-        self._target.ejection.succeeded(self._attempt_id, self._sent_at)
+        self._target.ejection.on_success(self._attempt_id, self._sent_at)
         self._target.note_outcome(has_failed=False)
-        self._owner.stream_began(200, forwarded_headers(self._head))
+        self._owner.on_stream_begin(200, forwarded_headers(self._head))
         if self._splitter.tail:
-            self._owner.event(self._splitter.tail, None)
+            self._owner.on_event(self._splitter.tail, None)
         self._report_end(AttemptEnd.STREAM_COMPLETE, "")
 
     def _abort(self, reason: str) -> None:
@@ -390,7 +390,7 @@
         self._target.in_flight -= 1
         self._target.long_in_flight -= self._is_long
         if self._target.is_emptying and not self._target.long_in_flight:
-            self._context.report_soon()
+            self._context.schedule_report()
         self._reading.close()
 
     def _report_end(
@@ -398,11 +398,11 @@
         end: AttemptEnd,
         reason: str,
         is_lost: bool = False,
-        moved: MovedRun | None = None,
+        moved: StoppedRun | None = None,
     ) -> None:
         self._count_result(end.value.replace(" ", "-"))
         status = self._head.status if self._head else 0
         result = AttemptResult(
             self._target, end, reason, status, is_lost=is_lost, moved=moved
         )
-        self._owner.ended(result)
+        self._owner.on_attempt_end(result)
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -13,16 +13,16 @@
 from berylnotch.entry.settings import EntrySettings
 from berylnotch.entry.targets import Target, TargetTable
 from berylnotch.group.messages import CrashMark
+from berylnotch.membership.announced_weights import AnnouncedWeights
 from berylnotch.membership.crashes import CrashGuard
 from berylnotch.membership.marks import SharedLosses
-from berylnotch.membership.naming import WeightsNames
+from berylnotch.placement.cache_model import CacheModel
 from berylnotch.placement.costs import (
-    DEFAULT_COPY_PER_MS,
-    DEFAULT_STORE_PER_MS,
-    CostMeter,
+    DEFAULT_COPY_TOKENS_PER_MS,
+    DEFAULT_STORE_TOKENS_PER_MS,
     EngineCosts,
+    PrefillEstimator,
 )
-from berylnotch.placement.mirror import PromptMemory
 from berylnotch.routing.model import Service
 from berylnotch.routing.table import RouteTable
 from berylnotch.settings.fleet import FleetSettings
@@ -61,7 +61,7 @@
         Targets and the connections to them.
     gate : QuotaGate
         Rate limits of the organisations.
-    prompts : PromptMemory
+    prompts : CacheModel
         Prompts that engines and stores probably hold.
     crashes : CrashGuard
         Guard against requests that crash targets.
@@ -71,7 +71,7 @@
         Target losses for the next report to the leader.
     routes : RouteTable or None
         Configuration in force, None before the first configuration arrives.
-    names : WeightsNames
+    announced_weights : AnnouncedWeights
         Named versions of weights.
     down_stores : frozenset of str
         Addresses of the stores that cannot be reached.
@@ -84,9 +84,9 @@
         set by the newest updates.
     ask_quota : callable
         Schedules a request for tokens to the quota owner.
-    report_soon : callable
+    schedule_report : callable
         Schedules the next report to the leader earlier than its regular time.
-    own_notes : deque of tuple
+    own_note_keys : deque of tuple
         Identifying fields of this router's newest prompt notes. The leader sends the
         notes back to their author as well, and the router skips these copies.
     """
@@ -98,21 +98,21 @@
     metrics: Metrics
     targets: TargetTable
     gate: QuotaGate
-    prompts: PromptMemory
+    prompts: CacheModel
     crashes: CrashGuard
     losses: SharedLosses = field(factory=SharedLosses)
     crash_marks: list[CrashMark] = field(factory=list)
     routes: RouteTable | None = None
-    names: WeightsNames = field(factory=WeightsNames)
+    announced_weights: AnnouncedWeights = field(factory=AnnouncedWeights)
     down_stores: frozenset[str] = frozenset()
     router_count: int = 1
     is_roster_known: bool = False
     loaded_targets: set[str] = field(factory=set)
     ask_quota: Callable[[], None] = lambda: None
-    report_soon: Callable[[], None] = lambda: None
-    own_notes: deque[tuple] = field(factory=lambda: deque(maxlen=MAX_OWN_NOTES))
+    schedule_report: Callable[[], None] = lambda: None
+    own_note_keys: deque[tuple] = field(factory=lambda: deque(maxlen=MAX_OWN_NOTES))
     _budgets: dict[str, WindowBudget] = field(factory=dict)
-    _meters: dict[str, CostMeter] = field(factory=dict)
+    _estimators: dict[str, PrefillEstimator] = field(factory=dict)
 
     def budget(self, service: str) -> WindowBudget:
         """Return this router's retry budget for a service."""
@@ -123,29 +123,31 @@
             self._budgets[service] = budget
         return budget
 
-    def meter(self, service: str) -> CostMeter:
-        """Return the meter of a service's engines, with their measured times."""
-        return self._meters.setdefault(service, CostMeter())
+    def estimator(self, service: str) -> PrefillEstimator:
+        """Return the estimator of a service's engines, with their measured times."""
+        return self._estimators.setdefault(service, PrefillEstimator())
 
     def costs(self, service: Service) -> EngineCosts:
         """Return the measured and the configured costs of a service's engines."""
-        meter, engine = self.meter(service.name), service.engine
+        estimator, engine = self.estimator(service.name), service.engine
         if engine is None:
             return EngineCosts()
         store_mbps = max((s.store_link_mbps for s in self.routes.stores), default=0.0)
         copy_per_ms = engine.tokens_per_ms(engine.link_mbps)
         store_per_ms = engine.tokens_per_ms(min(store_mbps, engine.link_mbps))
         return EngineCosts(
-            meter.token_ms,
-            meter.base_ms,
-            copy_per_ms or DEFAULT_COPY_PER_MS,
-            store_per_ms or DEFAULT_STORE_PER_MS,
+            estimator.token_ms,
+            estimator.base_ms,
+            copy_per_ms or DEFAULT_COPY_TOKENS_PER_MS,
+            store_per_ms or DEFAULT_STORE_TOKENS_PER_MS,
         )
 
     def record_target_loss(self, target_id: str, fingerprint: bytes) -> None:
         """Record that a target was lost while it ran a request."""
         now = boot_time()
-        verdict = self.crashes.lost(now, target_id, (fingerprint,), self.losses)
+        verdict = self.crashes.on_target_lost(
+            now, target_id, (fingerprint,), self.losses
+        )
         for reported in verdict.reported:
             self.crash_marks.append(CrashMark(reported, target_id))
         for blamed in verdict.blamed:
--- a/berylnotch/entry/reading.py
+++ b/berylnotch/entry/reading.py
@@ -4,11 +4,11 @@
 
 from attrs import evolve
 
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.context import EntryContext
 from berylnotch.entry.model import Choice
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.group.messages import PromptNote
-from berylnotch.placement.mirror import Holding
+from berylnotch.placement.cache_model import Holding
 from berylnotch.platform.requests import TargetHeaders
 from berylnotch.util.clock import boot_time
 
@@ -17,7 +17,7 @@
     """Reading of one request's prompt at one target.
 
     It counts the prompt's unread tokens at the target, notes the shared parts that the
-    target will hold, and passes the measured delay to the service's cost meter.
+    target will hold, and passes the measured delay to the service's prefill estimator.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
         Shared state of the router.
     choice : Choice
         Target that the request is sent to.
-    admitted : Admitted
+    routed : RoutedRequest
         The request.
     target_headers : TargetHeaders
         Headers that the target receives with the request.
@@ -35,15 +35,15 @@
         self,
         context: EntryContext,
         choice: Choice,
-        admitted: Admitted,
+        routed: RoutedRequest,
         target_headers: TargetHeaders,
     ) -> None:
         self._context = context
         self._target = choice.target
-        self._caller = admitted.caller
-        self._admitted = admitted
+        self._caller = routed.caller
+        self._routed = routed
         self._target_headers = target_headers
-        self._tokens = self._unread = choice.unread
+        self._tokens = self._unread = choice.uncached_tokens
         #: Prompt tokens that the target had to read before those of this request.
         self._tokens_ahead = choice.target.total_unread
         self._queue_ms = choice.queue_ms
@@ -56,11 +56,11 @@
         if self._target_headers.run_origin:
             # The KV cache of a resumed run is not reusable for other prompts.
             tokens = self._caller.prompt_tokens
-            self._context.prompts.fill(self._target.target_id, tokens)
+            self._context.prompts.add_unshared_tokens(self._target.target_id, tokens)
             return
         if self._note_prompt(is_ready=False):
             # Until other routers receive this note, they choose the same engine.
-            self._context.report_soon()
+            self._context.schedule_report()
 
     def done(self, sent_at: float) -> None:
         """Record that the target has read the prompt; later calls do nothing.
@@ -80,8 +80,10 @@
     def close(self) -> None:
         """End the tracking; a prompt that is still unread counts as not held."""
         if not self._is_read and not self._target_headers.run_origin:
-            for mark in self._marks():
-                self._context.prompts.not_read(self._target.target_id, mark)
+            for prefix_hash in self._prefix_hashes():
+                self._context.prompts.cancel_prefill(
+                    self._target.target_id, prefix_hash
+                )
         self._release_unread()
 
     def _release_unread(self) -> None:
@@ -89,21 +91,21 @@
         self._unread = 0
 
     def _measure(self, first_event_ms: float) -> None:
-        meter = self._context.meter(self._target.listed.service)
-        meter.note_overshoot(self._expected_ms, first_event_ms)
-        admitted = self._admitted
-        meter.note_wait(
-            admitted.priority,
-            admitted.is_urgent,
+        estimator = self._context.estimator(self._target.listed.service)
+        estimator.record_overshoot(self._expected_ms, first_event_ms)
+        routed = self._routed
+        estimator.record_queue_wait(
+            routed.priority,
+            routed.is_urgent,
             self._tokens,
             self._queue_ms,
             first_event_ms,
         )
         if self._tokens_ahead <= self._tokens:
-            meter.note(self._tokens + self._tokens_ahead, first_event_ms)
+            estimator.record_prefill(self._tokens + self._tokens_ahead, first_event_ms)
 
-    def _marks(self) -> tuple[int, ...]:
-        return self._caller.chain.marks(self._target_headers.cache_salt)
+    def _prefix_hashes(self) -> tuple[int, ...]:
+        return self._caller.chain.prefix_hashes(self._target_headers.cache_salt)
 
     def _note_prompt(self, is_ready: bool) -> bool:
         """Note where the shared parts of the prompt are read and stored.
@@ -125,24 +127,25 @@
         caller, prompts, now = self._caller, self._context.prompts, boot_time()
         chain, holder = caller.chain, self._target.target_id
         capacity = self._context.cache_tokens(self._target)
-        if not chain.has_home:
+        if not chain.has_affinity:
             if not is_ready and capacity:
-                prompts.fill(holder, caller.prompt_tokens)
+                prompts.add_unshared_tokens(holder, caller.prompt_tokens)
             return False
         own_tokens = (
             0 if is_ready else max(0, caller.prompt_tokens - chain.shared_tokens)
         )
-        known = (Holding.READY, Holding.READY if is_ready else Holding.READING)
-        for level, mark in zip(chain.levels, self._marks(), strict=True):
+        known = (Holding.READY, Holding.READY if is_ready else Holding.PENDING)
+        for level, prefix_hash in zip(chain.levels, self._prefix_hashes(), strict=True):
             is_deepest = level is chain.levels[-1]
-            if not is_deepest and prompts.holding(now, holder, mark) in known:
+            if not is_deepest and prompts.holding(now, holder, prefix_hash) in known:
                 continue
-            note = PromptNote(mark, level.tokens, holder, is_ready=is_ready)
+            note = PromptNote(prefix_hash, level.tokens, holder, is_ready=is_ready)
             if is_deepest:
                 note = evolve(note, own_tokens=own_tokens, unread=self._unread)
-            prompts.read(now, note, capacity)
+            prompts.record_prefill(now, note, capacity)
             if is_ready and self._target_headers.save_to:
-                prompts.saved(
-                    now, PromptNote(mark, level.tokens, self._target_headers.save_to)
+                prompts.record_store_transfer(
+                    now,
+                    PromptNote(prefix_hash, level.tokens, self._target_headers.save_to),
                 )
         return True
--- a/berylnotch/platform/requests.py
+++ b/berylnotch/platform/requests.py
@@ -5,7 +5,7 @@
 from attrs import frozen
 
 from berylnotch.net.messages import Headers, HttpRequest
-from berylnotch.placement.chains import Chain, PromptPart, make_chain
+from berylnotch.placement.chains import PrefixChain, PromptPart, make_prefix_chain
 from berylnotch.platform import names
 
 
@@ -42,7 +42,7 @@
     model: str
     prompt_tokens: int
     output_tokens: int
-    chain: Chain
+    chain: PrefixChain
     resume_after: int | None
 
     @property
@@ -140,7 +140,7 @@
         output_tokens=int(_parse_number(token_counts[1]) or 0)
         if len(token_counts) > 1
         else 0,
-        chain=make_chain(_parse_parts(headers.get(names.PROMPT_PARTS)), prompt_tokens),
+        chain=make_prefix_chain(_parse_parts(headers.get(names.PROMPT_PARTS)), prompt_tokens),
         resume_after=_parse_integer(headers.get(names.LAST_EVENT_ID)),
     )
 
--- a/berylnotch/quota/bounds.py
+++ b/berylnotch/quota/bounds.py
@@ -16,7 +16,7 @@
 
 #: Fraction of an organisation's burst that the routers may hold in advance, so that
 #: they continue to serve while there is no owner.
-HELD_PART = 0.45
+HELD_SHARE = 0.45
 
 #: Fraction of the burst that a new owner grants at once, without waiting until
 #: earlier grants expire. It is the rest of the headroom that `GRANTED_FRACTION` leaves,
--- a/berylnotch/server/app.py
+++ b/berylnotch/server/app.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from berylnotch.fleet.model import Organisation, Route, Service
-    from berylnotch.keys.keyring import HeldKey
+    from berylnotch.keys.keyring import AcceptedKey
     from berylnotch.server.context import Context
     from berylnotch.server.engine import RequestPath
 
@@ -154,7 +154,7 @@
             return self._list_models(caller)
         return self._make_language_job(resolved, service)
 
-    def _authenticate(self, key: str, key_hash: bytes) -> HeldKey:
+    def _authenticate(self, key: str, key_hash: bytes) -> AcceptedKey:
         if not key:
             raise Refusal(401, "missing_key", "send a key: Authorization: Bearer KEY")
         if not self._context.freshness.is_fresh(time.monotonic()):
@@ -169,7 +169,7 @@
             raise Refusal(401, "invalid_key", "the key is not accepted")
         return key_record
 
-    def _find_organisation(self, key_record: HeldKey) -> Organisation:
+    def _find_organisation(self, key_record: AcceptedKey) -> Organisation:
         organisation = self._context.view.fleet.organisations.get(
             key_record.organisation
         )
--- a/berylnotch/server/attempts.py
+++ b/berylnotch/server/attempts.py
@@ -84,7 +84,7 @@
     def choose(self, job: Job, action: StartAttempt) -> TargetChoice | None:
         """Choose a target, or return None if none can take the attempt."""
         now = time.monotonic()
-        avoided = self._context.guard.avoid(now, job.fingerprint)
+        avoided = self._context.guard.targets_to_avoid(now, job.fingerprint)
         ranked = self._rank(now, job, action, action.exclude | avoided)
         if not ranked and avoided:
             # A request suspected of crashing targets avoids targets that run other
--- a/berylnotch/server/context.py
+++ b/berylnotch/server/context.py
@@ -79,4 +79,4 @@
 
     def reported_losses(self, fingerprint: bytes) -> frozenset[str]:
         """Return the targets that routers reported as lost while running a request."""
-        return self.view.crash_targets(fingerprint, int(time.time() * 1000))
+        return self.view.targets_lost_with(fingerprint, int(time.time() * 1000))
--- a/berylnotch/server/judging.py
+++ b/berylnotch/server/judging.py
@@ -84,16 +84,16 @@
         )
         if action.cause in _LOSS_CAUSES:
             self._record_loss(job, action, now)
-        self._context.guard.ended(job.fingerprint, action.target)
+        self._context.guard.on_request_ended(job.fingerprint, action.target)
 
     def on_exchange_finished(self, job: Job, action: Finish, now: float) -> None:
         """Record the end of a job's exchange."""
         attempt = job.attempt
         if attempt is None:
             return
-        self._context.guard.ended(job.fingerprint, attempt.target)
+        self._context.guard.on_request_ended(job.fingerprint, attempt.target)
         if action.reason is FinishReason.COMPLETE:
-            self._context.guard.completed(job.fingerprint, now)
+            self._context.guard.on_request_completed(job.fingerprint, now)
             self._context.health.finish(now, attempt.dispatch, True)
         else:
             self._context.health.abandon(attempt.dispatch)
@@ -104,7 +104,7 @@
 
     def _record_loss(self, job: Job, action: AttemptFailed, now: float) -> None:
         guard, reported_losses = self._context.guard, self._context.reported_losses
-        verdict = guard.lost(now, action.target, (job.fingerprint,), reported_losses)
+        verdict = guard.on_target_lost(now, action.target, (job.fingerprint,), reported_losses)
         head = job.attempt.head
         incarnation = head.incarnation if head is not None else ""
         for fingerprint in verdict.reported:
--- a/tests/test_entry/support.py
+++ b/tests/test_entry/support.py
@@ -1,15 +1,15 @@
 """Builders and fakes for tests of the request path."""
 
-from berylnotch.entry.admitted import Admitted
 from berylnotch.entry.exchange import Exchange
-from berylnotch.entry.model import Placing
+from berylnotch.entry.model import ChoiceInputs
+from berylnotch.entry.routed_request import RoutedRequest
 from berylnotch.entry.targets import Target
 from berylnotch.membership.ejection import Ejection
 from berylnotch.membership.listing import ListedTarget, ModelVersion
 from berylnotch.membership.settings import MembershipSettings
 from berylnotch.net.messages import Headers, HttpRequest
-from berylnotch.placement.chains import PromptPart, make_chain
-from berylnotch.placement.mirror import Holding, Run
+from berylnotch.placement.cache_model import CachedLevels, Holding
+from berylnotch.placement.chains import PromptPart, make_prefix_chain
 from berylnotch.platform.requests import decode_request
 from berylnotch.util.clock import boot_time
 
@@ -48,9 +48,11 @@
     """
     shared = [PromptPart(*part) for part in parts or [(shared_id, shared_tokens)]]
     own = PromptPart("own", prompt_tokens - sum(part.tokens for part in shared))
-    chain = make_chain((*shared, own), prompt_tokens)
+    chain = make_prefix_chain((*shared, own), prompt_tokens)
     if holding is not None:
-        changes["run"] = lambda target: make_run(holding(target), len(chain.levels))
+        changes["cached_levels"] = lambda target: make_cached_levels(
+            holding(target), len(chain.levels)
+        )
     values = {
         "now": 100.0,
         "model": MODEL,
@@ -61,19 +63,19 @@
         "failure_domain": "north",
     }
     values.update(changes)
-    return Placing(**values)
+    return ChoiceInputs(**values)
 
 
-def make_run(holding, levels):
+def make_cached_levels(holding, levels):
     """Return the cached prefix of an engine that holds or processes some levels."""
     if holding is Holding.NONE:
-        return Run()
-    return Run(levels if holding is Holding.READY else 0, levels)
+        return CachedLevels()
+    return CachedLevels(levels if holding is Holding.READY else 0, levels)
 
 
 def short_request(**changes):
     """Return the inputs of the choice for a request with a short prompt."""
-    values = {"shared_tokens": 55, "prompt_tokens": 380, "wait_part": 0.3}
+    values = {"shared_tokens": 55, "prompt_tokens": 380, "queue_share": 0.3}
     values.update(changes)
     return long_request(**values)
 
@@ -117,8 +119,8 @@
     for name, value in changes.items():
         setattr(request, name, value)
     route = context.routes.route("app.example", request.path)
-    admitted = Admitted(request, decode_request(request), route, organisation)
+    routed = RoutedRequest(request, decode_request(request), route, organisation)
     connection, ended = Connection(), []
-    exchange = Exchange(context, connection, admitted, ended.append)
+    exchange = Exchange(context, connection, routed, ended.append)
     exchange.start()
     return exchange, connection, ended
--- a/tests/test_entry/test_load.py
+++ b/tests/test_entry/test_load.py
@@ -13,12 +13,12 @@
 
 from attrs import define, field
 
-from berylnotch.entry.admission import judge
+from berylnotch.entry.admission import decide_admission
 from berylnotch.entry.choice import choose
 from berylnotch.entry.model import Choice
 from berylnotch.group.messages import PromptNote
-from berylnotch.placement.chains import prompt_mark
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
+from berylnotch.placement.chains import hash_prefix
 from tests.test_entry.support import long_request, make_target, short_request
 
 #: Prompt tokens that an engine reads in a step, the time to read them, and the fixed
@@ -56,14 +56,14 @@
             self.held.move_to_end(prefix)
             while len(self.held) * (PREFIX_TOKENS + REST_TOKENS) > CACHE_TOKENS:
                 self.held.popitem(last=False)
-        read_ms = unread / CHUNK_TOKENS * (CHUNK_MS + STEP_MS)
-        self.free_at = max(now, self.free_at) + read_ms / 1000
+        prefill_ms = unread / CHUNK_TOKENS * (CHUNK_MS + STEP_MS)
+        self.free_at = max(now, self.free_at) + prefill_ms / 1000
         if prefix is None:
-            return now + (CHUNK_MS + STEP_MS + read_ms) / 1000, unread
+            return now + (CHUNK_MS + STEP_MS + prefill_ms) / 1000, unread
         return self.free_at, unread
 
 
-def least_requests(targets, _placing):
+def least_requests(targets, _inputs):
     """Return the target with the fewest requests, as the baseline."""
     usable = [t for t in targets if not t.is_loading]
     return min(usable, key=lambda t: t.load)
@@ -80,7 +80,7 @@
     engines = [Engine(make_target(f"e{n}")) for n in range(5)]
     targets = [e.target for e in engines]
     by_id = {e.target.target_id: e for e in engines}
-    memory, ends = PromptMemory(), []
+    memory, ends = CacheModel(), []
     in_time = {True: 0, False: 0}
     requests = {True: 0, False: 0}
     read, now, left = 0, 0.0, []
@@ -97,7 +97,7 @@
             end[1].in_flight -= 1
             end[1].unread -= end[2]
             if end[3] is not None:
-                memory.read(end[0], end[3], CACHE_TOKENS)
+                memory.record_prefill(end[0], end[3], CACHE_TOKENS)
         for number, (start, back) in OUTAGES.items():
             target = targets[number]
             was_unavailable, target.is_loading = target.is_loading, start <= now < back
@@ -107,37 +107,37 @@
         if now == arrived_at:
             requests[is_long] += 1
         part = f"p{prefix}" if is_long else None
-        placing = (long_request if is_long else short_request)(
+        inputs = (long_request if is_long else short_request)(
             now=now,
             shared_id=part or "short",
             shared_tokens=PREFIX_TOKENS if is_long else 55,
             prompt_tokens=PREFIX_TOKENS + REST_TOKENS if is_long else 380,
             holding=lambda t, p=part, at=now: memory.holding(
-                at, t.target_id, prompt_mark("v1", p)
+                at, t.target_id, hash_prefix("v1", p)
             ),
         )
-        choice, retry_s = policy(targets, placing, now - arrived_at)
+        choice, retry_s = policy(targets, inputs, now - arrived_at)
         if choice is None:
             if now == arrived_at:
                 arrivals.append((now + retry_s, is_long, prefix, arrived_at))
             continue
-        target, unread = choice.target, choice.unread
+        target, unread = choice.target, choice.uncached_tokens
         is_copied = (
             choice.source is not None and part in by_id[choice.source.target_id].held
         )
         engine = by_id[target.target_id]
-        done, tokens_read = engine.process(now, part, placing.prompt_tokens, is_copied)
+        done, tokens_read = engine.process(now, part, inputs.prompt_tokens, is_copied)
         read += tokens_read
         target.in_flight += 1
         target.unread += unread
         ready = None
         if is_long:
-            mark = prompt_mark("v1", part)
+            prefix_hash = hash_prefix("v1", part)
             first = PromptNote(
-                mark, PREFIX_TOKENS, target.target_id, REST_TOKENS, False
+                prefix_hash, PREFIX_TOKENS, target.target_id, REST_TOKENS, False
             )
-            memory.read(now, first, CACHE_TOKENS)
-            ready = PromptNote(mark, PREFIX_TOKENS, target.target_id)
+            memory.record_prefill(now, first, CACHE_TOKENS)
+            ready = PromptNote(prefix_hash, PREFIX_TOKENS, target.target_id)
         ends.append((done, target, unread, ready))
         in_time[is_long] += done - arrived_at <= TARGET_S
         left.append(done - now > LEAVE_S)
@@ -146,17 +146,17 @@
     return long_share, short_share, read, sum(left) / len(left)
 
 
-def by_delay(targets, placing, waited_s):
-    choice = choose(targets, placing)
-    verdict = judge(choice, TARGET_S, 10.0 - waited_s)
+def by_delay(targets, inputs, waited_s):
+    choice = choose(targets, inputs)
+    verdict = decide_admission(choice, TARGET_S, 10.0 - waited_s)
     if not verdict.is_admitted:
         return None, verdict.retry_after_s
     return choice, 0.0
 
 
-def by_requests(targets, placing, waited_s):
-    target = least_requests(targets, placing)
-    return Choice(target, 0.0, unread=placing.prompt_tokens), 0.0
+def by_requests(targets, inputs, waited_s):
+    target = least_requests(targets, inputs)
+    return Choice(target, 0.0, uncached_tokens=inputs.prompt_tokens), 0.0
 
 
 def test_callers_get_more_in_time_and_engines_read_less():
--- a/tests/test_entry/test_nested_load.py
+++ b/tests/test_entry/test_nested_load.py
@@ -15,7 +15,7 @@
 
 from berylnotch.entry.choice import choose
 from berylnotch.group.messages import PromptNote
-from berylnotch.placement.mirror import PromptMemory
+from berylnotch.placement.cache_model import CacheModel
 from tests.test_entry.support import long_request, make_target, short_request
 
 #: Prompt tokens that an engine reads per ms, and tokens of its cache.
@@ -66,8 +66,8 @@
         e.target.target_id: e for e in (Engine(make_target(f"e{n}")) for n in range(5))
     }
     targets = [e.target for e in engines.values()]
-    memory, in_flight_ends = PromptMemory(), []
-    now, in_time, long_requests, read_again, read_subjects = 0.0, 0, 0, 0, set()
+    memory, in_flight_ends = CacheModel(), []
+    now, in_time, long_requests, reprocessed_tokens, read_subjects = 0.0, 0, 0, 0, set()
     while now < SECONDS:
         now += rng.expovariate(LONG_PER_S + SHORT_PER_S)
         for end in [e for e in in_flight_ends if e[0] <= now]:
@@ -76,25 +76,27 @@
             target.in_flight -= 1
             target.unread -= unread
             for note in notes:
-                memory.read(at, note, CACHE_TOKENS)
+                memory.record_prefill(at, note, CACHE_TOKENS)
         is_long = rng.random() < LONG_PER_S / (LONG_PER_S + SHORT_PER_S)
         subject = f"s{rng.randrange(SUBJECTS)}"
         shared = [("common", COMMON), (subject, SUBJECT)] if is_long else [("x", 500)]
         own = OWN if is_long else 1_800
         tokens = sum(t for _, t in shared) + own
         known = shared if knows_all_parts else shared[:1]
-        placing = (long_request if is_long else short_request)(
+        inputs = (long_request if is_long else short_request)(
             now=now, parts=known, prompt_tokens=tokens
         )
-        chain = placing.chain
-        marks = chain.marks("v1")
-        placing = (long_request if is_long else short_request)(
+        chain = inputs.chain
+        prefix_hashes = chain.prefix_hashes("v1")
+        inputs = (long_request if is_long else short_request)(
             now=now,
             parts=known,
             prompt_tokens=tokens,
-            run=lambda t, at=now, m=marks: memory.run(at, t.target_id, m),
+            cached_levels=lambda t, at=now, m=prefix_hashes: memory.cached_levels(
+                at, t.target_id, m
+            ),
         )
-        choice = choose(targets, placing)
+        choice = choose(targets, inputs)
         target = choice.target
         copied = ()
         if choice.source is not None:
@@ -104,21 +106,23 @@
         parts = [*shared, (f"own-{now}", own)]
         done, read = engines[target.target_id].read(now, parts, copied)
         target.in_flight += 1
-        target.unread += choice.unread
+        target.unread += choice.uncached_tokens
         notes = []
-        for level, mark in zip(chain.levels, marks, strict=True):
+        for level, prefix_hash in zip(chain.levels, prefix_hashes, strict=True):
             name = target.target_id
-            memory.read(
-                now, PromptNote(mark, level.tokens, name, own, False), CACHE_TOKENS
+            memory.record_prefill(
+                now,
+                PromptNote(prefix_hash, level.tokens, name, own, False),
+                CACHE_TOKENS,
             )
-            notes.append(PromptNote(mark, level.tokens, name))
-        in_flight_ends.append((done, target, choice.unread, notes))
+            notes.append(PromptNote(prefix_hash, level.tokens, name))
+        in_flight_ends.append((done, target, choice.uncached_tokens, notes))
         if is_long:
             long_requests += 1
             in_time += done - now <= TARGET_S
-            read_again += read if subject in read_subjects else 0
+            reprocessed_tokens += read if subject in read_subjects else 0
             read_subjects.add(subject)
-    return in_time / long_requests, read_again
+    return in_time / long_requests, reprocessed_tokens
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_net/test_endless.py
+++ b/tests/test_net/test_endless.py
@@ -10,7 +10,7 @@
 
 from berylnotch.net.client import MAX_OVERHEAD_BYTES, ClientConnection, Failure
 from berylnotch.net.fetch import fetch
-from tests.fleet.processes import until
+from tests.fleet.processes import wait_until
 from tests.test_net.support import RawServer
 from tests.test_net.test_client import REQUEST, Sink, loop
 
@@ -93,7 +93,7 @@
     endless = EndlessResponse(COMPLETE, b"more" * (PIECE_BYTES // 4))
     sink, connection = send_request(loop, endless)
     assert (sink.result, sink.body) == ("complete", b"good")
-    until(lambda: connection.is_closed, "the end of the connection")
+    wait_until(lambda: connection.is_closed, "the end of the connection")
     assert endless.sent < MAX_IN_FLIGHT_BYTES
 
 
--- a/tests/test_quota/test_bounds.py
+++ b/tests/test_quota/test_bounds.py
@@ -6,7 +6,7 @@
 from berylnotch.entry.settings import EntrySettings
 from berylnotch.quota.bounds import (
     FLEET_QUOTA,
-    HELD_PART,
+    HELD_SHARE,
     EffectiveLimit,
     effective_limits,
     is_limited,
@@ -38,7 +38,7 @@
     limits = effective_limits((ORGANISATION,), BOUNDS)
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
     gates = [QuotaGate(LocalQuota(FLEET_QUOTA), MAX_WAIT_S) for _ in range(n_routers)]
-    floor = int(limits["alpha"].burst * HELD_PART / n_routers)
+    floor = int(limits["alpha"].burst * HELD_SHARE / n_routers)
     for gate in gates:
         gate.quota.keep("alpha", floor)
     charges, refusals, now, step_s = [], [], 0.0, 0.02
@@ -118,7 +118,7 @@
     owner = QuotaOwner(FLEET_QUOTA, 1, 0.0)
     gates = [QuotaGate(LocalQuota(FLEET_QUOTA), MAX_WAIT_S) for _ in range(n_routers)]
     for number, gate in enumerate(gates):
-        gate.quota.keep("alpha", int(175_000 * HELD_PART / n_routers))
+        gate.quota.keep("alpha", int(175_000 * HELD_SHARE / n_routers))
         request = gate.request(0.01, f"r{number}", "i", "a", "d")
         gate.receive(0.01, 0.01, owner.grant(0.01, request, limits))
     charged = []
