--- a/berylnotch/platform/requests.py
+++ b/berylnotch/platform/requests.py
@@ -140,7 +140,9 @@
         output_tokens=int(_parse_number(token_counts[1]) or 0)
         if len(token_counts) > 1
         else 0,
-        chain=make_prefix_chain(_parse_parts(headers.get(names.PROMPT_PARTS)), prompt_tokens),
+        chain=make_prefix_chain(
+            _parse_parts(headers.get(names.PROMPT_PARTS)), prompt_tokens
+        ),
         resume_after=_parse_integer(headers.get(names.LAST_EVENT_ID)),
     )
 
--- a/berylnotch/server/judging.py
+++ b/berylnotch/server/judging.py
@@ -104,7 +104,9 @@
 
     def _record_loss(self, job: Job, action: AttemptFailed, now: float) -> None:
         guard, reported_losses = self._context.guard, self._context.reported_losses
-        verdict = guard.on_target_lost(now, action.target, (job.fingerprint,), reported_losses)
+        verdict = guard.on_target_lost(
+            now, action.target, (job.fingerprint,), reported_losses
+        )
         head = job.attempt.head
         incarnation = head.incarnation if head is not None else ""
         for fingerprint in verdict.reported:
