--- a/berylnotch/daemon/__init__.py
+++ b/berylnotch/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Shells that run the state machines: controller and router."""
+"""Processes of the router and of the controller."""
--- a/berylnotch/daemon/controller/__init__.py
+++ b/berylnotch/daemon/controller/__init__.py
@@ -1,3 +1,3 @@
-"""Shell of a controller: runs the replicated control state over the network."""
+"""Controller process, which replicates the control state over the network."""
 
 from __future__ import annotations
--- a/berylnotch/daemon/controller/controller.py
+++ b/berylnotch/daemon/controller/controller.py
@@ -1,4 +1,4 @@
-"""Assembly of a controller process."""
+"""Controller process: log storage, core thread and network connections."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Controller:
-    """A controller: durable log, core thread and network.
+    """Controller process; it owns the log storage, the core thread and the network.
 
     Parameters
     ----------
     settings : ControllerSettings
         Settings of the process.
     on_failure : callable
-        Called, in another thread, if the controller cannot go on.
+        Called in another thread after an error that the controller cannot recover from.
     """
 
     def __init__(
@@ -47,11 +47,11 @@
 
     @property
     def address(self) -> Address:
-        """Address in use."""
+        """Address at which the controller listens."""
         return self._listener.address
 
     def start(self) -> None:
-        """Read the data folder and begin to serve.
+        """Recover the state from the data folder and start to serve.
 
         Raises
         ------
@@ -90,7 +90,7 @@
         )
 
     def close(self) -> None:
-        """Stop: no more messages, then the core, then the connections."""
+        """Stop the listener, then the core thread, then the connections to peers."""
         self._listener.close()
         self._core.close()
         self._peers.close()
--- a/berylnotch/daemon/controller/inbound.py
+++ b/berylnotch/daemon/controller/inbound.py
@@ -1,4 +1,4 @@
-"""Messages on their way into the controller's core thread."""
+"""Messages in the queue of a controller's core thread."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 @frozen
 class Inbound:
-    """A message with its sender and the way to answer."""
+    """A message with its sender's identity and a callable for the reply.
+
+    An empty identity marks an item that the controller queued itself: a `VouchAnswer`
+    or a callable that the core thread runs.
+    """
 
     identity: str
     message: Any
@@ -21,12 +25,12 @@
 
 
 @frozen
-class Vouched:
-    """The leader's answer to a question sent at ``sent_at`` (monotonic seconds)."""
+class VouchAnswer:
+    """A `VouchReply` and the monotonic time in seconds at which it was requested."""
 
     sent_at: float
     reply: VouchReply
 
 
-def ignore(_message: object) -> None:
-    """Drop an answer that nobody waits for."""
+def discard_reply(_message: object) -> None:
+    """Discard a reply that no sender expects."""
--- a/berylnotch/daemon/controller/leader.py
+++ b/berylnotch/daemon/controller/leader.py
@@ -1,4 +1,4 @@
-"""Services that run only while this controller leads."""
+"""Services that run only while this controller is the leader."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 
 from berylnotch.control.commands import ExpireClaims
 from berylnotch.control.protocol import RouterLine
-from berylnotch.daemon.controller.ordering import Ordering
-from berylnotch.daemon.controller.routers import Routers
+from berylnotch.daemon.controller.ordering import OrderDispatcher
+from berylnotch.daemon.controller.routers import RouterHeartbeats
 from berylnotch.daemon.controller.targets import TargetWatch
 from berylnotch.quota.messages import GrantReply, GrantRequest
 from berylnotch.quota.owner import QuotaOwner
 
 if TYPE_CHECKING:
     from berylnotch.control.state import ControlState
-    from berylnotch.daemon.controller.outside import Outside
+    from berylnotch.daemon.controller.outside import ExternalClient
     from berylnotch.settings.controller import ControllerSettings
 
-#: Proposes a command; the answer goes to the second argument, if any.
+#: Proposes a command; the optional second argument receives the reply.
 Propose = Callable[..., None]
 
-#: Seconds between two looks at the routers' heartbeats.
-_ROUTERS_INTERVAL_S = 0.25
-#: Seconds between two commands that forget old claims.
-_EXPIRE_INTERVAL_S = 60.0
+#: Interval in seconds between checks of the routers' heartbeats.
+_ROUTER_CHECK_INTERVAL_S = 0.25
+#: Interval in seconds between commands that expire old claims.
+_EXPIRY_INTERVAL_S = 60.0
 
 
-class _Term:
-    """What one leader keeps in memory for the length of its term."""
+class _TermState:
+    """State that a leader holds in memory during one term."""
 
     def __init__(
         self,
         now: float,
         term: int,
         owner: QuotaOwner,
-        targets: TargetWatch,
-        ordering: Ordering,
+        target_watch: TargetWatch,
+        order_dispatcher: OrderDispatcher,
     ) -> None:
         self.term = term
         self.owner = owner
-        self.targets = targets
-        self.ordering = ordering
-        self.routers = Routers(now)
-        self.next_routers = now + _ROUTERS_INTERVAL_S
-        self.next_expire = now + _EXPIRE_INTERVAL_S
+        self.target_watch = target_watch
+        self.order_dispatcher = order_dispatcher
+        self.router_heartbeats = RouterHeartbeats(now)
+        self.next_router_check = now + _ROUTER_CHECK_INTERVAL_S
+        self.next_expiry = now + _EXPIRY_INTERVAL_S
 
 
 class Leader:
-    """Quota owner, heartbeats and housekeeping of the leader.
+    """Quota grants, life states of routers and targets, orders, and expiry of claims.
 
     Parameters
     ----------
@@ -57,8 +57,8 @@
         Settings of the process.
     state : ControlState
         Applied state.
-    outside : Outside
-        Way to the systems outside.
+    external_client : ExternalClient
+        Client for requests to engines and to the platform.
     propose : callable
         Proposes a command.
     """
@@ -67,63 +67,83 @@
         self,
         settings: ControllerSettings,
         state: ControlState,
-        outside: Outside,
+        external_client: ExternalClient,
         propose: Propose,
     ) -> None:
-        self._outside = outside
+        self._external_client = external_client
         self._settings = settings
         self._state = state
         self._propose = propose
-        self._current: _Term | None = None
+        self._term: _TermState | None = None
 
     @property
     def owner(self) -> QuotaOwner | None:
-        """Quota owner, while this controller leads."""
-        return self._current.owner if self._current else None
+        """Quota owner of the current term, None if this controller does not lead."""
+        return self._term.owner if self._term else None
 
-    def become(self, now: float, term: int) -> None:
-        """Start the services of a new term."""
-        if self._current is not None and self._current.term == term:
+    def start_term(self, now: float, term: int) -> None:
+        """Start the services of a term, unless they are running already."""
+        if self._term is not None and self._term.term == term:
             return
         settings, state = self._settings, self._state
-        targets = TargetWatch(settings, state, self._outside, self._propose)
-        ordering = Ordering(
-            settings, state, self._outside, targets, self._propose, since=now
+        target_watch = TargetWatch(
+            settings, state, self._external_client, self._propose
+        )
+        order_dispatcher = OrderDispatcher(
+            settings,
+            state,
+            self._external_client,
+            target_watch,
+            self._propose,
+            since=now,
         )
         owner = QuotaOwner(settings.quota, term, now)
-        self._current = _Term(now, term, owner, targets, ordering)
+        self._term = _TermState(now, term, owner, target_watch, order_dispatcher)
 
-    def resign(self) -> None:
-        """Forget everything that only a leader may hold."""
-        self._current = None
+    def end_term(self) -> None:
+        """Discard the state of the term when leadership is lost."""
+        self._term = None
 
     def grant(self, now: float, request: GrantRequest) -> GrantReply:
-        """Answer a router's heartbeat with grants."""
-        current = self._current
-        if current is None:
-            raise RuntimeError("grant without a term")
-        current.routers.hear(now, request)
-        return current.owner.grant(now, request, self._state.fleet.organisations)
+        """Record a router's heartbeat and answer it with grants.
 
-    def tick(self, now: float, valid_until: float) -> None:
-        """Propose and order what heartbeats, reports and time ask for.
+        Raises
+        ------
+        RuntimeError
+            If no term was started.
+        """
+        term_state = self._term
+        if term_state is None:
+            raise RuntimeError("cannot grant quota: no leader term was started")
+        term_state.router_heartbeats.record(now, request)
+        return term_state.owner.grant(now, request, self._state.fleet.organisations)
 
-        ``valid_until`` is the end of the lease.
+    def tick(self, now: float, valid_until: float) -> None:
+        """Run the leader's periodic work: reports, orders, life states and expiry.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time in seconds.
+        valid_until : float
+            Monotonic time in seconds at which the leader's lease ends.
         """
-        current = self._current
-        if current is None:
+        term_state = self._term
+        if term_state is None:
             return
-        current.targets.tick(now)
-        current.ordering.tick(now, valid_until)
-        if now >= current.next_routers:
-            current.next_routers = now + _ROUTERS_INTERVAL_S
-            for command in current.routers.changes(now, self._state):
+        term_state.target_watch.tick(now)
+        term_state.order_dispatcher.tick(now, valid_until)
+        if now >= term_state.next_router_check:
+            term_state.next_router_check = now + _ROUTER_CHECK_INTERVAL_S
+            for command in term_state.router_heartbeats.life_state_changes(
+                now, self._state
+            ):
                 self._propose(command)
-        if now >= current.next_expire:
-            current.next_expire = now + _EXPIRE_INTERVAL_S
-            keep_ms = int(self._settings.claim_retention_s * 1000)
-            self._propose(ExpireClaims(int(time.time() * 1000) - keep_ms))
+        if now >= term_state.next_expiry:
+            term_state.next_expiry = now + _EXPIRY_INTERVAL_S
+            retention_ms = int(self._settings.claim_retention_s * 1000)
+            self._propose(ExpireClaims(int(time.time() * 1000) - retention_ms))
 
     def router_lines(self, now: float) -> tuple[RouterLine, ...]:
-        """Return the routers for operators."""
-        return self._current.routers.lines(now) if self._current else ()
+        """Return the routers for the operators' status report."""
+        return self._term.router_heartbeats.status_lines(now) if self._term else ()
--- a/berylnotch/daemon/controller/ordering.py
+++ b/berylnotch/daemon/controller/ordering.py
@@ -1,4 +1,4 @@
-"""Orders of the leader to engines: issued, sent, read back, finished."""
+"""Dispatch of the leader's load orders to engines, from issue to result."""
 
 from __future__ import annotations
 
@@ -18,36 +18,37 @@
 if TYPE_CHECKING:
     from berylnotch.control.records import OrderRecord
     from berylnotch.control.state import ControlState
-    from berylnotch.daemon.controller.outside import Outside
+    from berylnotch.daemon.controller.outside import ExternalClient
     from berylnotch.daemon.controller.targets import TargetWatch
     from berylnotch.errors import GatewayError
     from berylnotch.gateways.orders import OrderAnswer
     from berylnotch.settings.controller import ControllerSettings
 
-_TIMEOUT_S = 2.0
-#: Seconds between two looks at the orders.
+_REQUEST_TIMEOUT_S = 2.0
+#: Interval in seconds between checks of the orders.
 _INTERVAL_S = 0.2
-#: Seconds after which an order that the engine did not take is sent again.
-_RESEND_S = 3.0
-#: Seconds after which an order counts as failed.
-ORDER_LIMIT_S = 120.0
+#: Seconds after which an unfinished order is sent again, unless the engine reports that
+#: it is loading for this order.
+_RESEND_INTERVAL_S = 3.0
+#: Seconds after the first send at which an order counts as failed.
+ORDER_TIMEOUT_S = 120.0
 
 
 @define
-class _Sent:
-    """An order that this leader has sent."""
+class _SentOrder:
+    """Fencing token and send times of an order that this leader has sent."""
 
     fence: int
-    at: float
-    first_at: float
+    sent_at: float
+    first_sent_at: float
 
 
-class Ordering:
-    """Brings engines to the versions that rollouts ask for.
+class OrderDispatcher:
+    """Issues and sends the orders that load a rollout's weights into engines.
 
-    An order is committed before it is sent, and its log index is the fencing
-    number. Its result is read back from the engine's own report, so a lost
-    answer does no harm.
+    An order is committed before it is sent, and its log index is the fencing token.
+    The result is taken from the engine's load report, so the order also finishes if
+    the engine's answer is lost.
 
     Parameters
     ----------
@@ -55,56 +56,58 @@
         Settings of the process.
     state : ControlState
         Applied state.
-    outside : Outside
-        Way to the engines.
-    targets : TargetWatch
-        Reports of the engines.
+    external_client : ExternalClient
+        Client for requests to engines.
+    target_watch : TargetWatch
+        Load reports of the engines.
     propose : callable
         Proposes a command.
     since : float
-        Monotonic time at which this controller began to lead.
+        Monotonic time in seconds at which this controller became the leader.
     """
 
     def __init__(
         self,
         settings: ControllerSettings,
         state: ControlState,
-        outside: Outside,
-        targets: TargetWatch,
+        external_client: ExternalClient,
+        target_watch: TargetWatch,
         propose: Callable[[object], None],
         since: float,
     ) -> None:
         self._settings = settings
         self._state = state
-        self._outside = outside
-        self._targets = targets
+        self._external_client = external_client
+        self._target_watch = target_watch
         self._propose = propose
         self._since_ms = int(since * 1000)
-        self._next = 0.0
-        self._sent: dict[str, _Sent] = {}
+        self._next_tick = 0.0
+        self._sent: dict[str, _SentOrder] = {}
         self._issued_index = 0
 
     def tick(self, now: float, valid_until: float) -> None:
-        """Send, read back and issue orders.
+        """Send orders, check their results and issue new orders.
 
         Parameters
         ----------
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         valid_until : float
-            End of the leader's lease; no order is sent after it.
+            Monotonic time in seconds at which the leader's lease ends; no order is
+            sent after it.
         """
-        if now < self._next:
+        if now < self._next_tick:
             return
-        self._next = now + _INTERVAL_S
+        self._next_tick = now + _INTERVAL_S
         for name in tuple(self._state.fleet.targets):
             order = self._state.order(name)
             if order is not None and not order.finished_ms:
-                self._follow(now, valid_until, order)
-        self._issue(now)
+                self._advance(now, valid_until, order)
+        self._issue_orders(now)
 
-    def _issue(self, now: float) -> None:
-        # One proposal at a time: the next is judged by the state after it.
+    def _issue_orders(self, now: float) -> None:
+        # The next orders depend on the state after the previous proposal, so nothing is
+        # issued until that proposal is applied.
         if self._state.index <= self._issued_index:
             return
         now_ms = int(time.time() * 1000)
@@ -114,26 +117,26 @@
             self._propose(command)
 
     def _leadership(self, now: float, now_ms: int) -> Leadership:
-        led_ms = int(now * 1000) - self._since_ms
+        leading_ms = int(now * 1000) - self._since_ms
         lease_ms = int(self._settings.consensus.election_max_s * 1000)
-        return Leadership(since_ms=now_ms - led_ms, lease_ms=lease_ms)
+        return Leadership(since_ms=now_ms - leading_ms, lease_ms=lease_ms)
 
-    def _follow(self, now: float, valid_until: float, order: OrderRecord) -> None:
+    def _advance(self, now: float, valid_until: float, order: OrderRecord) -> None:
         sent = self._sent.get(order.target)
         if sent is None or sent.fence != order.fence:
             sent = None
         if sent is not None and self._is_done(order, sent):
             self._finish(order, True, "")
-        elif sent is not None and now - sent.first_at > ORDER_LIMIT_S:
+        elif sent is not None and now - sent.first_sent_at > ORDER_TIMEOUT_S:
             self._finish(order, False, "the engine did not report the version")
-        elif sent is None or now - sent.at > _RESEND_S:
+        elif sent is None or now - sent.sent_at > _RESEND_INTERVAL_S:
             self._send(now, valid_until, order)
 
-    def _is_done(self, order: OrderRecord, sent: _Sent) -> bool:
-        # Only a report that was asked for after the order speaks of it.
-        if self._targets.load_asked_at(order.target) <= sent.at:
+    def _is_done(self, order: OrderRecord, sent: _SentOrder) -> bool:
+        # A report requested before the order was sent does not show its result.
+        if self._target_watch.load_requested_at(order.target) <= sent.sent_at:
             return False
-        load = self._targets.load(order.target)
+        load = self._target_watch.load(order.target)
         return load is not None and not load.loading and load.weights == order.version
 
     def _send(self, now: float, valid_until: float, order: OrderRecord) -> None:
@@ -145,28 +148,32 @@
             return
         if not may_send(now_ms, engine, self._leadership(now, now_ms)):
             return
-        load = self._targets.load(order.target)
+        load = self._target_watch.load(order.target)
         sent = self._sent.get(order.target)
-        first_at = sent.first_at if sent and sent.fence == order.fence else now
-        self._sent[order.target] = _Sent(order.fence, now, first_at)
+        first_sent_at = (
+            sent.first_sent_at if sent and sent.fence == order.fence else now
+        )
+        self._sent[order.target] = _SentOrder(order.fence, now, first_sent_at)
         if load is not None and load.loading and load.fence == order.fence:
             return
         address = EngineAddress(target.address, self._settings.target_credential)
-        request = build_load_order(address, order.fence, order.version, _TIMEOUT_S)
+        request = build_load_order(
+            address, order.fence, order.version, _REQUEST_TIMEOUT_S
+        )
         logger.info(
             "event=order_sent target={} version={} fence={}",
             order.target,
             order.version,
             order.fence,
         )
-        self._outside.fetch(
+        self._external_client.fetch(
             request,
             read_order_answer,
-            lambda answer, error: self._answered(order, answer, error),
+            lambda answer, error: self._on_answer(order, answer, error),
             valid_until,
         )
 
-    def _answered(
+    def _on_answer(
         self,
         order: OrderRecord,
         answer: OrderAnswer | None,
--- a/berylnotch/daemon/controller/outside.py
+++ b/berylnotch/daemon/controller/outside.py
@@ -1,4 +1,4 @@
-"""Requests of the leader to systems outside, made in the network thread."""
+"""HTTP client of the leader for engines and the platform."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     from berylnotch.util.loop import Loop
 
 
-class Outside:
-    """Carries the core's requests out and brings the answers back.
+class ExternalClient:
+    """Sends requests in the network thread and delivers answers to the core thread.
 
     Parameters
     ----------
     loop : Loop
         Network thread of the process.
     deliver : callable
-        Runs a call in the core thread.
+        Runs a callable in the core thread.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._upstreams = Upstreams(loop)
 
     def close(self) -> None:
-        """Cancel what is under way."""
+        """Cancel all running requests."""
         self._loop.call_soon(self._upstreams.close)
 
     def fetch(
@@ -45,28 +45,34 @@
         on_done: OnDone[T],
         valid_until: float = float("inf"),
     ) -> None:
-        """Send a request; ``on_done`` runs in the core thread.
+        """Send a request and pass its result to ``on_done`` in the core thread.
 
         Parameters
         ----------
         request : UpstreamRequest
-            What to send.
+            Request to send.
         read : callable
-            Turns status and body into a value.
+            Converts the status and body of the answer into a value.
         on_done : callable
-            Gets the value, or the error.
+            Receives the value, or None and the error.
         valid_until : float, optional
-            Monotonic time from which the request must not be sent any more.
+            Monotonic time in seconds from which the request must not be sent.
         """
 
-        def done(answer: T | None, error: Exception | None) -> None:
+        def deliver_result(answer: T | None, error: Exception | None) -> None:
             self._deliver(lambda: on_done(answer, error))
 
         def send() -> None:
-            # The process may have been stopped since the core checked its lease.
+            # The lease may have ended since the core thread checked it, for example
+            # because the process was suspended.
             if time.monotonic() >= valid_until:
-                done(None, UnreachableError("the lease ended", sent=False))
+                deliver_result(
+                    None,
+                    UnreachableError(
+                        "request not sent: the leader's lease has ended", sent=False
+                    ),
+                )
                 return
-            fetch(self._upstreams, request, read, done)
+            fetch(self._upstreams, request, read, deliver_result)
 
         self._loop.call_soon(send)
--- a/berylnotch/daemon/controller/proposals.py
+++ b/berylnotch/daemon/controller/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of this leader that are not applied yet."""
+"""Pending proposals of the leader, answered when their entries are applied."""
 
 from __future__ import annotations
 
@@ -14,40 +14,51 @@
 
 
 @frozen
-class _Pending:
-    """A proposal's term and the way to answer."""
+class _PendingProposal:
+    """Term of a proposal and the callable for its reply."""
 
     term: int
     reply: Callable[[object], None]
 
 
-class Proposals:
-    """Answers proposals once they are applied."""
+class PendingProposals:
+    """Replies to proposers once the entries of their proposals are applied."""
 
     def __init__(self) -> None:
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingProposal] = {}
 
     def add(self, index: int, term: int, reply: Callable[[object], None]) -> None:
-        """Remember who waits for the entry at ``index``."""
-        self._pending[index] = _Pending(term, reply)
+        """Register the callable for the reply to the entry at ``index``."""
+        self._pending[index] = _PendingProposal(term, reply)
 
     def resolve(self, index: int, term: int, result: Result | None) -> None:
-        """Answer whoever proposed the entry that was applied at ``index``."""
+        """Answer the proposer of the entry that was applied at ``index``.
+
+        Parameters
+        ----------
+        index : int
+            Log index of the applied entry.
+        term : int
+            Term of the applied entry.
+        result : Result or None
+            Result of the command, None if the entry holds no command.
+        """
         pending = self._pending.pop(index, None)
         if pending is None:
             return
         if pending.term != term or result is None:
-            # Another leader's entry took the place; the proposer may repeat.
+            # An entry of another leader was committed at this index, so the proposal
+            # is lost and the proposer may repeat it.
             pending.reply(NotLeader())
             return
         pending.reply(ProposeReply(result))
 
     def fail_all(self, answer: NotLeader) -> None:
-        """Tell all proposers to ask the new leader.
+        """Send an answer that redirects all proposers to the new leader.
 
-        Their entries may still be committed, so they repeat them under the
+        Their entries may still be committed, so they must repeat the commands with the
         same change id or attempt.
         """
         pending, self._pending = self._pending, {}
-        for entry in pending.values():
-            entry.reply(answer)
+        for proposal in pending.values():
+            proposal.reply(answer)
--- a/berylnotch/daemon/controller/reads.py
+++ b/berylnotch/daemon/controller/reads.py
@@ -1,4 +1,4 @@
-"""Answers of the leader to operators."""
+"""Read requests of operators to the leader, and checks of their commands."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     from berylnotch.daemon.controller.core import Core
     from berylnotch.fleet.model import Organisation, Target
 
-#: Most audit records in one answer.
+#: Largest number of audit records in one reply.
 _MAX_AUDIT = 1000
 
 _OPERATOR_COMMANDS = (
@@ -56,14 +56,16 @@
 
 
 def check_operator_command(operator: str, command: Any, secret: bytes) -> Any:
-    """Return the command as it is stored, if this operator may propose it.
+    """Return the command in its stored form, if this operator may propose it.
 
-    The tool sends a plain digest of a new key; the log holds a keyed hash.
+    The command-line tool sends an unkeyed digest of a new key; the log stores a keyed
+    hash of that digest.
 
     Raises
     ------
     ControlError
-        If it is no operator's command or names another operator.
+        If operators may not propose this kind of command, if it names another
+        operator, has no change id, or holds a digest of the wrong length.
     """
     if not isinstance(command, _OPERATOR_COMMANDS):
         raise ControlError(f"{type(command).__name__} is no command of operators")
@@ -83,8 +85,8 @@
     return evolve(command, key_hash=hash_digest(key, command.key_hash))
 
 
-def answer(core: Core, message: Any) -> object:
-    """Answer an operator's question; this controller leads."""
+def answer_query(core: Core, message: Any) -> object:
+    """Answer a read request of an operator; this controller must be the leader."""
     state = core.state
     if isinstance(message, ShowRequest):
         return ShowReply(state.revision, state.text)
@@ -96,27 +98,27 @@
     if isinstance(message, ClaimRequest):
         return ClaimReply(state.claim(message.organisation, message.idempotency_key))
     if isinstance(message, StatusRequest):
-        return _status(core, time.monotonic())
+        return _build_status(core, time.monotonic())
     return Refused(f"{type(message).__name__} is not served here")
 
 
-def _status(core: Core, now: float) -> StatusReply:
+def _build_status(core: Core, now: float) -> StatusReply:
     replica, fleet = core.replica, core.state.fleet
     return StatusReply(
         term=replica.term,
         leader=replica.leader,
         commit=replica.commit,
         revision=core.state.revision,
-        controllers=tuple(_controller(core, now, m) for m in core.members()),
+        controllers=tuple(_controller_line(core, now, m) for m in core.members()),
         routers=core.leader.router_lines(now),
-        targets=tuple(_target(core, t) for t in fleet.targets.values()),
+        targets=tuple(_target_line(core, t) for t in fleet.targets.values()),
         organisations=tuple(
-            _organisation(core, now, o) for o in fleet.organisations.values()
+            _organisation_line(core, now, o) for o in fleet.organisations.values()
         ),
     )
 
 
-def _controller(core: Core, now: float, member: Member) -> ControllerLine:
+def _controller_line(core: Core, now: float, member: Member) -> ControllerLine:
     replica = core.replica
     if member.replica == replica.identity:
         return ControllerLine(member, True, replica.last_index, 0)
@@ -128,7 +130,7 @@
     return ControllerLine(member, False, progress.match, heard_ms)
 
 
-def _target(core: Core, target: Target) -> TargetLine:
+def _target_line(core: Core, target: Target) -> TargetLine:
     view = core.state.view
     return TargetLine(
         target.name,
@@ -141,7 +143,7 @@
     )
 
 
-def _organisation(
+def _organisation_line(
     core: Core, now: float, organisation: Organisation
 ) -> OrganisationLine:
     owner, name = core.leader.owner, organisation.name
--- a/berylnotch/daemon/controller/routers.py
+++ b/berylnotch/daemon/controller/routers.py
@@ -1,4 +1,4 @@
-"""Which routers the leader hears, and the life states it proposes for them."""
+"""Heartbeats of routers at the leader, and the life states that follow from them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from berylnotch.control.commands import ClaimRecord
     from berylnotch.control.state import ControlState
 
-#: Source named in life states that come from heartbeats.
+#: Source in life states that are derived from heartbeats.
 SOURCE = "heartbeat"
 
 #: Seconds without a heartbeat after which a router counts as lost.
@@ -23,108 +23,115 @@
 
 
 @frozen
-class _Heard:
-    """The newest heartbeat of a router."""
+class _ReceivedHeartbeat:
+    """Newest heartbeat of a router and its monotonic time in seconds."""
 
-    at: float
+    received_at: float
     request: GrantRequest
 
 
-class Routers:
-    """Heartbeats of all routers, kept by the leader only.
+class RouterHeartbeats:
+    """Newest heartbeats of all routers, held in the leader's memory.
 
     Parameters
     ----------
     now : float
-        When this leader took over, in monotonic seconds.
+        Monotonic time in seconds at which this controller became the leader.
     """
 
     def __init__(self, now: float) -> None:
-        self._since = now
-        self._heard: dict[str, _Heard] = {}
-
-    def hear(self, now: float, request: GrantRequest) -> None:
-        """Take a heartbeat."""
-        self._heard[request.vm] = _Heard(now, request)
-
-    def changes(self, now: float, state: ControlState) -> tuple[SetLifeState, ...]:
-        """Return the life states that the log does not hold yet."""
-        found = []
-        for vm, heard in self._heard.items():
+        self._leading_since = now
+        self._heartbeats: dict[str, _ReceivedHeartbeat] = {}
+
+    def record(self, now: float, request: GrantRequest) -> None:
+        """Record a heartbeat."""
+        self._heartbeats[request.vm] = _ReceivedHeartbeat(now, request)
+
+    def life_state_changes(
+        self, now: float, state: ControlState
+    ) -> tuple[SetLifeState, ...]:
+        """Return commands for the life states that differ from the control state."""
+        commands = []
+        for vm, heartbeat in self._heartbeats.items():
             if vm not in state.fleet.vms:
                 continue
-            observed = _observed(now, heard)
-            if not _is_known(state, observed):
-                found.append(observed)
-        found.extend(self._never_heard(now, state))
-        found.extend(self._lost_claimants(now, state))
-        return tuple(found)
-
-    def lines(self, now: float) -> tuple[RouterLine, ...]:
-        """Return the routers for operators."""
+            observed = _observed_life_state(now, heartbeat)
+            if not _is_recorded(state, observed):
+                commands.append(observed)
+        commands.extend(self._lost_before_term(now, state))
+        commands.extend(self._lost_claimants(now, state))
+        return tuple(commands)
+
+    def status_lines(self, now: float) -> tuple[RouterLine, ...]:
+        """Return the routers for the operators' status report."""
         return tuple(
             RouterLine(
                 vm,
-                heard.request.incarnation,
-                heard.request.http_address,
-                heard.request.failure_domain,
-                _observed(now, heard).state.value,
-                int((now - heard.at) * 1000),
+                heartbeat.request.incarnation,
+                heartbeat.request.http_address,
+                heartbeat.request.failure_domain,
+                _observed_life_state(now, heartbeat).state.value,
+                int((now - heartbeat.received_at) * 1000),
             )
-            for vm, heard in sorted(self._heard.items())
+            for vm, heartbeat in sorted(self._heartbeats.items())
         )
 
-    def _never_heard(self, now: float, state: ControlState) -> list[SetLifeState]:
-        # A router that was lost together with the previous leader is not in
-        # this leader's memory, but its claims must not stay open.
-        if now - self._since < LOST_AFTER_S:
+    def _lost_before_term(self, now: float, state: ControlState) -> list[SetLifeState]:
+        # A router that was lost together with the previous leader never sent a
+        # heartbeat to this leader, but its claims must not stay open.
+        if now - self._leading_since < LOST_AFTER_S:
             return []
-        found = []
+        commands = []
         for vm in state.fleet.vms:
             report = state.view.life_report(Subject.VM, vm)
-            if vm in self._heard or report is None or report.state is LifeState.LOST:
+            if (
+                vm in self._heartbeats
+                or report is None
+                or report.state is LifeState.LOST
+            ):
                 continue
-            found.append(
+            commands.append(
                 SetLifeState(Subject.VM, vm, report.incarnation, LifeState.LOST, SOURCE)
             )
-        return found
+        return commands
 
     def _lost_claimants(self, now: float, state: ControlState) -> list[SetLifeState]:
-        # A router may be lost between its first claim and its first heartbeat.
-        if now - self._since < LOST_AFTER_S:
+        # A router that is lost between its first claim and its first heartbeat has no
+        # life state, but its claims must not stay open.
+        if now - self._leading_since < LOST_AFTER_S:
             return []
-        at_ms = int(time.time() * 1000)
+        now_ms = int(time.time() * 1000)
         routers = {
-            claim.router for claim in state.running_claims if _is_old(claim, at_ms)
+            claim.router for claim in state.running_claims if _is_old(claim, now_ms)
         }
-        found = []
+        commands = []
         for router in sorted(routers):
             vm, _, incarnation = router.partition("/")
-            heard = self._heard.get(vm)
-            if heard is None or heard.request.incarnation != incarnation:
-                found.append(
+            heartbeat = self._heartbeats.get(vm)
+            if heartbeat is None or heartbeat.request.incarnation != incarnation:
+                commands.append(
                     SetLifeState(Subject.VM, vm, incarnation, LifeState.LOST, SOURCE)
                 )
-        return found
+        return commands
 
 
-def _is_old(claim: ClaimRecord, at_ms: int) -> bool:
-    return at_ms - claim.opened_ms > LOST_AFTER_S * 1000
+def _is_old(claim: ClaimRecord, now_ms: int) -> bool:
+    return now_ms - claim.opened_ms > LOST_AFTER_S * 1000
 
 
-def _is_known(state: ControlState, observed: SetLifeState) -> bool:
+def _is_recorded(state: ControlState, observed: SetLifeState) -> bool:
     report = state.view.life_report(observed.subject, observed.name)
     if report is None:
         return False
-    known = (report.incarnation, report.state)
-    return known == (observed.incarnation, observed.state)
+    recorded = (report.incarnation, report.state)
+    return recorded == (observed.incarnation, observed.state)
 
 
-def _observed(now: float, heard: _Heard) -> SetLifeState:
-    request = heard.request
+def _observed_life_state(now: float, heartbeat: _ReceivedHeartbeat) -> SetLifeState:
+    request = heartbeat.request
     state = LifeState.LIVE
     if request.leaving:
         state = LifeState.LEAVING
-    if now - heard.at > LOST_AFTER_S:
+    if now - heartbeat.received_at > LOST_AFTER_S:
         state = LifeState.LOST
     return SetLifeState(Subject.VM, request.vm, request.incarnation, state, SOURCE)
--- a/berylnotch/daemon/controller/targets.py
+++ b/berylnotch/daemon/controller/targets.py
@@ -1,4 +1,4 @@
-"""What the leader learns of targets: the platform's list and their own reports."""
+"""Polling of the platform's VM list and of the engines' load reports."""
 
 from __future__ import annotations
 
@@ -16,36 +16,37 @@
 
 if TYPE_CHECKING:
     from berylnotch.control.state import ControlState
-    from berylnotch.daemon.controller.outside import Outside
+    from berylnotch.daemon.controller.outside import ExternalClient
     from berylnotch.errors import GatewayError
     from berylnotch.fleet.model import Target
     from berylnotch.gateways.vmlist import ListedVm
     from berylnotch.settings.controller import ControllerSettings
 
-#: Seconds between two looks at the platform's list.
+#: Interval in seconds between requests for the platform's VM list.
 LIST_INTERVAL_S = 2.0
-#: Seconds between two reports of one engine.
+#: Interval in seconds between load requests to one engine.
 LOAD_INTERVAL_S = 1.0
-_TIMEOUT_S = 1.0
-#: Source named in life states that come from the platform's list.
+_REQUEST_TIMEOUT_S = 1.0
+#: Source in life states that come from the platform's VM list.
 PLATFORM = "platform"
-#: Source named in life states that come from the target itself.
+#: Source in life states that come from the target's own load report.
 TARGET = "target"
 
 
 @frozen
-class _Seen:
-    """An engine's newest report and when it was asked for."""
+class _ReceivedLoad:
+    """An engine's newest load report and the time at which it was requested."""
 
-    asked_at: float
+    requested_at: float
     load: TargetLoad
 
 
 class TargetWatch:
-    """Asks the platform and the engines, and proposes what changed.
+    """Polls the platform and the engines, and proposes changes of the control state.
 
-    A leaving mark of the platform or of the target itself holds for the
-    target's incarnation: a list that lags does not undo it, a new process does.
+    A target that the platform or the target itself reports as leaving stays in this
+    state for its incarnation: an outdated VM list does not revert it, a new process of
+    the target does.
 
     Parameters
     ----------
@@ -53,8 +54,8 @@
         Settings of the process.
     state : ControlState
         Applied state.
-    outside : Outside
-        Way to the systems outside.
+    external_client : ExternalClient
+        Client for requests to engines and to the platform.
     propose : callable
         Proposes a command.
     """
@@ -63,39 +64,39 @@
         self,
         settings: ControllerSettings,
         state: ControlState,
-        outside: Outside,
+        external_client: ExternalClient,
         propose: Callable[[object], None],
     ) -> None:
         self._settings = settings
         self._state = state
-        self._outside = outside
+        self._external_client = external_client
         self._propose = propose
-        self._loads: dict[str, _Seen] = {}
+        self._loads: dict[str, _ReceivedLoad] = {}
         self._next_list = 0.0
         self._next_load: dict[str, float] = {}
 
     def load(self, target: str) -> TargetLoad | None:
-        """Return the newest report of an engine."""
-        seen = self._loads.get(target)
-        return seen.load if seen is not None else None
+        """Return the newest load report of an engine, None if there is none."""
+        received = self._loads.get(target)
+        return received.load if received is not None else None
 
-    def load_asked_at(self, target: str) -> float:
-        """Return when the newest report was asked for; -inf if there is none."""
-        seen = self._loads.get(target)
-        return seen.asked_at if seen is not None else float("-inf")
+    def load_requested_at(self, target: str) -> float:
+        """Return when the newest load report was requested, -inf if there is none."""
+        received = self._loads.get(target)
+        return received.requested_at if received is not None else float("-inf")
 
     def tick(self, now: float) -> None:
-        """Ask what is due."""
+        """Send the requests that are due."""
         if self._settings.platform and now >= self._next_list:
             self._next_list = now + LIST_INTERVAL_S
-            request = build_vms(self._settings.platform, _TIMEOUT_S)
-            self._outside.fetch(request, read_vms, self._take_list)
-        for target in self._engines():
+            request = build_vms(self._settings.platform, _REQUEST_TIMEOUT_S)
+            self._external_client.fetch(request, read_vms, self._on_vm_list)
+        for target in self._language_engines():
             if now >= self._next_load.get(target.name, 0.0):
                 self._next_load[target.name] = now + LOAD_INTERVAL_S
-                self._ask_load(now, target)
+                self._request_load(now, target)
 
-    def _engines(self) -> tuple[Target, ...]:
+    def _language_engines(self) -> tuple[Target, ...]:
         fleet = self._state.fleet
         kinds = {name: service.kind for name, service in fleet.services.items()}
         return tuple(
@@ -104,20 +105,20 @@
             if kinds[target.service] is ServiceKind.LANGUAGE
         )
 
-    def _ask_load(self, now: float, target: Target) -> None:
+    def _request_load(self, now: float, target: Target) -> None:
         address = EngineAddress(target.address, self._settings.target_credential)
-        request = build_load(address, _TIMEOUT_S)
+        request = build_load(address, _REQUEST_TIMEOUT_S)
 
-        def done(load: TargetLoad | None, error: GatewayError | None) -> None:
+        def on_done(load: TargetLoad | None, error: GatewayError | None) -> None:
             if load is not None:
-                self._loads[target.name] = _Seen(now, load)
-                self._take_load(target, load)
+                self._loads[target.name] = _ReceivedLoad(now, load)
+                self._on_load(target, load)
             elif error is not None:
                 logger.debug("event=load_missing target={}", target.name)
 
-        self._outside.fetch(request, read_load, done)
+        self._external_client.fetch(request, read_load, on_done)
 
-    def _take_load(self, target: Target, load: TargetLoad) -> None:
+    def _on_load(self, target: Target, load: TargetLoad) -> None:
         view = self._state.view
         order = self._state.order(target.name)
         is_ordered = order is not None and not order.finished_ms
@@ -126,36 +127,45 @@
                 self._propose(FinishOrder(target.name, 0, True, load.weights))
         report = view.life_report(Subject.TARGET, target.name)
         if load.leaving:
-            self._set(target.name, load.incarnation, LifeState.LEAVING, TARGET)
+            self._propose_life_state(
+                target.name, load.incarnation, LifeState.LEAVING, TARGET
+            )
         elif report is not None and report.incarnation != load.incarnation:
-            self._set(target.name, load.incarnation, LifeState.LIVE, TARGET)
+            self._propose_life_state(
+                target.name, load.incarnation, LifeState.LIVE, TARGET
+            )
 
-    def _take_list(self, found: VmList | None, error: GatewayError | None) -> None:
-        if found is None:
+    def _on_vm_list(self, vm_list: VmList | None, error: GatewayError | None) -> None:
+        if vm_list is None:
             logger.warning("event=platform_list_missing reason={!r}", str(error))
             return
-        for listed in found.vms:
+        for listed in vm_list.vms:
             if listed.state is VmState.LEAVING:
                 self._mark_leaving(listed)
 
     def _mark_leaving(self, listed: ListedVm) -> None:
         for target in self._state.fleet.targets.values():
-            if _is_on(target, listed):
+            if _is_on_vm(target, listed):
                 load = self.load(target.name)
                 incarnation = load.incarnation if load is not None else ""
-                self._set(target.name, incarnation, LifeState.LEAVING, PLATFORM)
+                self._propose_life_state(
+                    target.name, incarnation, LifeState.LEAVING, PLATFORM
+                )
 
-    def _set(self, name: str, incarnation: str, state: LifeState, source: str) -> None:
+    def _propose_life_state(
+        self, name: str, incarnation: str, state: LifeState, source: str
+    ) -> None:
         report = self._state.view.life_report(Subject.TARGET, name)
         if report is not None:
-            known = (report.incarnation, report.state)
-            if known == (incarnation, state):
+            recorded = (report.incarnation, report.state)
+            if recorded == (incarnation, state):
                 return
         self._propose(SetLifeState(Subject.TARGET, name, incarnation, state, source))
 
 
-def _is_on(target: Target, listed: ListedVm) -> bool:
+def _is_on_vm(target: Target, listed: ListedVm) -> bool:
     if listed.name == target.name or listed.address == target.address:
         return True
-    # A list without ports names the VM that the target runs on.
+    # The platform's list may hold addresses without ports; the host then names the
+    # VM that runs the target.
     return listed.address == target.address.rpartition(":")[0]
--- a/berylnotch/daemon/controller/vouching.py
+++ b/berylnotch/daemon/controller/vouching.py
@@ -1,4 +1,4 @@
-"""A follower's knowledge of how fresh its applied state is."""
+"""Requests of a follower that confirm with the leader how fresh its state is."""
 
 from __future__ import annotations
 
@@ -7,68 +7,84 @@
 from typing import TYPE_CHECKING, Any
 
 from berylnotch.control.protocol import VouchReply, VouchRequest
-from berylnotch.daemon.controller.inbound import Vouched
+from berylnotch.daemon.controller.inbound import VouchAnswer
 from berylnotch.keys.freshness import Freshness
 
 if TYPE_CHECKING:
     from berylnotch.transport.peers import Peers
 
-#: Seconds between two questions to the leader.
+#: Interval in seconds between requests to the leader.
 VOUCH_INTERVAL_S = 0.2
-_TIMEOUT_S = 1.0
+_REQUEST_TIMEOUT_S = 1.0
 
 
-class Vouching:
-    """Asks the leader how far the log is committed.
+class VouchClient:
+    """Requests the leader's commit index to confirm that the applied state is current.
 
     Parameters
     ----------
     peers : Peers
         Connections to the other controllers.
     lease_s : float
-        How long a vouch counts, in seconds.
+        Time in seconds for which a confirmation of the leader is valid.
     deliver : callable
-        Brings an answer into the core thread.
+        Delivers an answer to the core thread.
     """
 
     def __init__(
-        self, peers: Peers, lease_s: float, deliver: Callable[[Vouched], None]
+        self, peers: Peers, lease_s: float, deliver: Callable[[VouchAnswer], None]
     ) -> None:
         self._peers = peers
         self._freshness = Freshness(lease_s)
         self._deliver = deliver
-        self._asked: Future[Any] | None = None
-        self._next = 0.0
-        self._unmet: Vouched | None = None
+        self._request: Future[Any] | None = None
+        self._next_request_at = 0.0
+        self._pending: VouchAnswer | None = None
 
     def age_ms(self, now: float) -> int:
-        """Return the age of the applied state, or -1 if nobody vouched for it."""
+        """Return the age of the applied state in ms, -1 if no leader confirmed it."""
         return self._freshness.age_ms(now)
 
     def tick(self, now: float, leader_address: str, applied: int) -> None:
-        """Ask again when it is time, and settle an answer that was too new."""
-        self._settle(applied)
-        if not leader_address or now < self._next:
+        """Send the next request if it is due, and process a pending answer.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time in seconds.
+        leader_address : str
+            Address of the leader, empty if it is unknown.
+        applied : int
+            Index of the last applied log entry.
+        """
+        self._process_pending(applied)
+        if not leader_address or now < self._next_request_at:
             return
-        if self._asked is not None and not self._asked.done():
+        if self._request is not None and not self._request.done():
             return
-        self._next = now + VOUCH_INTERVAL_S
-        self._asked = self._peers.call(leader_address, VouchRequest(), _TIMEOUT_S)
-        self._asked.add_done_callback(lambda future: self._answered(now, future))
-
-    def take(self, vouched: Vouched, applied: int) -> None:
-        """Take an answer, in the core thread."""
-        if vouched.reply.age_ms >= 0:
-            self._unmet = vouched
-        self._settle(applied)
-
-    def _settle(self, applied: int) -> None:
-        # The answer vouches only for a state that holds all it names.
-        vouched = self._unmet
-        if vouched is not None and applied >= vouched.reply.commit:
-            self._freshness.observe(vouched.sent_at, vouched.reply.age_ms)
-            self._unmet = None
-
-    def _answered(self, sent_at: float, future: Future[Any]) -> None:
+        self._next_request_at = now + VOUCH_INTERVAL_S
+        self._request = self._peers.call(
+            leader_address, VouchRequest(), _REQUEST_TIMEOUT_S
+        )
+        self._request.add_done_callback(lambda future: self._on_reply(now, future))
+
+    def on_answer(self, answer: VouchAnswer, applied: int) -> None:
+        """Process an answer in the core thread.
+
+        An answer without a lease is ignored.
+        """
+        if answer.reply.age_ms >= 0:
+            self._pending = answer
+        self._process_pending(applied)
+
+    def _process_pending(self, applied: int) -> None:
+        # The answer confirms the applied state only once all entries up to the leader's
+        # commit index are applied.
+        answer = self._pending
+        if answer is not None and applied >= answer.reply.commit:
+            self._freshness.observe(answer.sent_at, answer.reply.age_ms)
+            self._pending = None
+
+    def _on_reply(self, sent_at: float, future: Future[Any]) -> None:
         if future.exception() is None and isinstance(future.result(), VouchReply):
-            self._deliver(Vouched(sent_at, future.result()))
+            self._deliver(VouchAnswer(sent_at, future.result()))
--- a/berylnotch/daemon/router/__init__.py
+++ b/berylnotch/daemon/router/__init__.py
@@ -1,1 +1,1 @@
-"""Shell of a router: serves callers and follows the control state."""
+"""Router process, which serves callers and follows the control state."""
--- a/berylnotch/daemon/router/follower.py
+++ b/berylnotch/daemon/router/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a router's view up to date from controllers or peer routers."""
+"""Replication of the control state from a controller or peer router to a router."""
 
 from __future__ import annotations
 
@@ -18,41 +18,44 @@
     from berylnotch.transport.peers import Peers
     from berylnotch.util.loop import Loop
 
-#: How long, in milliseconds, a source may hold an answer back.
-WAIT_MS = 400
-#: Seconds for an answer beyond the time that it may be held back; shorter than a
-#: freshness lease, so that another source can be asked before the lease ends.
-_TIMEOUT_S = 0.6
-#: Seconds for the first answer, which may be a large snapshot.
-_FIRST_TIMEOUT_S = 5.0
-#: Seconds before another source is asked after a failure.
-_RETRY_S = 0.05
-#: Answers in a row that vouch for nothing before another source is asked.
-_MAX_STALE = 2
+#: Longest time in milliseconds for which a source may delay its reply.
+SYNC_WAIT_MS = 400
+#: Timeout in seconds for a reply, added to the time for which the source may delay it.
+#: It is shorter than a freshness lease, so that another source can be asked before the
+#: lease ends.
+_REPLY_TIMEOUT_S = 0.6
+#: Timeout in seconds for the first reply, which may hold a large snapshot.
+_FIRST_REPLY_TIMEOUT_S = 5.0
+#: Delay in seconds before the next source is asked after a failure, and shortest
+#: interval between requests.
+_RETRY_DELAY_S = 0.05
+#: Consecutive replies that do not confirm the view after which the follower switches to
+#: the next source.
+_MAX_STALE_REPLIES = 2
 
 
 class Follower:
-    """Subscription to one source at a time; runs in the loop's thread.
+    """Subscription to the events of one source at a time; runs in the loop's thread.
 
-    Controllers are asked first, in an order that differs between routers, and
-    peer routers when no controller answers.
+    Controllers are asked first, in an order that differs between routers, and peer
+    routers only if no controller answers.
 
     Parameters
     ----------
     loop : Loop
-        Loop of the router.
+        Event loop of the router.
     peers : Peers
         Connections to other processes.
     sources : tuple of str
         Addresses in order of preference.
     view : View
-        View to keep up to date.
+        View that receives the events and snapshots.
     freshness : Freshness
-        Told when a leader vouched for the view.
+        Lease that each confirmation of the view renews.
     vm, incarnation : str
-        Identity of this router.
+        Name and incarnation of this router.
     on_change : callable
-        Called after the view or its freshness changed.
+        Called after each reply has been processed.
     """
 
     def __init__(
@@ -74,62 +77,62 @@
         self._vm = vm
         self._incarnation = incarnation
         self._on_change = on_change
-        self._position = 0
-        self._stale = 0
+        self._source_index = 0
+        self._stale_replies = 0
         self._leader_address = ""
-        self._closed = False
+        self._is_closed = False
 
     @property
     def leader_address(self) -> str:
-        """Controller that leads, as far as known; empty if unknown."""
+        """Last known address of the leader, empty if unknown."""
         return self._leader_address
 
     def start(self) -> None:
-        """Begin to follow."""
-        self._loop.call_soon(self._ask)
+        """Start to send requests."""
+        self._loop.call_soon(self._send_request)
 
     def close(self) -> None:
-        """Stop following."""
-        self._closed = True
+        """Stop sending requests; an outstanding reply is ignored."""
+        self._is_closed = True
 
-    def _ask(self) -> None:
-        if self._closed or not self._sources:
+    def _send_request(self) -> None:
+        if self._is_closed or not self._sources:
             return
-        source = self._sources[self._position % len(self._sources)]
-        wait_ms = WAIT_MS if self._freshness.is_fresh(time.monotonic()) else 0
+        source = self._sources[self._source_index % len(self._sources)]
+        wait_ms = SYNC_WAIT_MS if self._freshness.is_fresh(time.monotonic()) else 0
         request = SyncRequest(self._vm, self._incarnation, self._view.version, wait_ms)
         sent_at = time.monotonic()
-        timeout_s = _TIMEOUT_S + wait_ms / 1000
+        timeout_s = _REPLY_TIMEOUT_S + wait_ms / 1000
         if not self._view.version:
-            timeout_s = _FIRST_TIMEOUT_S
+            timeout_s = _FIRST_REPLY_TIMEOUT_S
         future = self._peers.call(source, request, timeout_s)
-        future.add_done_callback(lambda done: self._answered(sent_at, done))
+        future.add_done_callback(lambda done: self._on_reply(sent_at, done))
 
-    def _answered(self, sent_at: float, future: Future[Any]) -> None:
-        if self._closed:
+    def _on_reply(self, sent_at: float, future: Future[Any]) -> None:
+        if self._is_closed:
             return
         if future.exception() is not None or not isinstance(future.result(), SyncReply):
-            self._next_source()
-            self._loop.call_later(_RETRY_S, self._ask)
+            self._switch_source()
+            self._loop.call_later(_RETRY_DELAY_S, self._send_request)
             return
         try:
-            self._take(sent_at, future.result())
+            self._process_reply(sent_at, future.result())
         except BerylnotchError:
             logger.exception("event=sync_failed")
-            self._next_source()
+            self._switch_source()
         self._on_change()
-        self._ask_soon(sent_at)
+        self._schedule_request(sent_at)
 
-    def _ask_soon(self, sent_at: float) -> None:
-        # An answer that came at once must not make this a busy loop.
+    def _schedule_request(self, sent_at: float) -> None:
+        # Sources that answer immediately must not cause a busy loop.
         elapsed = time.monotonic() - sent_at
-        self._loop.call_later(max(_RETRY_S - elapsed, 0.0), self._ask)
+        self._loop.call_later(max(_RETRY_DELAY_S - elapsed, 0.0), self._send_request)
 
-    def _take(self, sent_at: float, reply: SyncReply) -> None:
+    def _process_reply(self, sent_at: float, reply: SyncReply) -> None:
         if reply.group and not self._view.group:
             self._view.set_group(reply.group)
         if reply.group != self._view.group:
-            self._take_other_group(reply)
+            self._on_other_group(reply)
             return
         if reply.leader_address:
             self._leader_address = reply.leader_address
@@ -138,22 +141,22 @@
         elif reply.events:
             self._view.apply(reply.events)
         if reply.age_ms < 0 or self._view.version < reply.version:
-            self._stale += 1
-            if self._stale >= _MAX_STALE:
-                self._next_source()
+            self._stale_replies += 1
+            if self._stale_replies >= _MAX_STALE_REPLIES:
+                self._switch_source()
             return
-        self._stale = 0
+        self._stale_replies = 0
         self._freshness.observe(sent_at, reply.age_ms)
 
-    def _take_other_group(self, reply: SyncReply) -> None:
-        # Only a leader with a lease speaks for a group; what is left of one
-        # that was given up has none.
+    def _on_other_group(self, reply: SyncReply) -> None:
+        # The view switches to another group only if its leader has a lease. A
+        # controller left over from an abandoned group has no lease.
         if reply.group and reply.age_ms >= 0:
             logger.warning("event=group_changed group={}", reply.group)
             self._view.reset()
         else:
-            self._next_source()
+            self._switch_source()
 
-    def _next_source(self) -> None:
-        self._position += 1
-        self._stale = 0
+    def _switch_source(self) -> None:
+        self._source_index += 1
+        self._stale_replies = 0
--- a/berylnotch/daemon/router/heartbeat.py
+++ b/berylnotch/daemon/router/heartbeat.py
@@ -1,4 +1,4 @@
-"""Router's reports to the quota owner, and the grants that come back."""
+"""Heartbeats of a router to the leader, which carry quota requests and grants."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
     from berylnotch.transport.peers import Peers
     from berylnotch.util.loop import Loop, Timer
 
-#: Seconds between two reports of an idle router.
+#: Interval in seconds between heartbeats of an idle router.
 IDLE_INTERVAL_S = 0.5
-#: Fewest seconds between an answer and the next report.
+#: Shortest delay in seconds between an answer and the next heartbeat.
 _MIN_DELAY_S = 0.005
-#: Seconds before a report that another controller named the leader for.
-_REDIRECT_S = 0.05
-_TIMEOUT_S = 1.0
+#: Delay in seconds before a heartbeat is sent to the leader named in a redirect.
+_REDIRECT_DELAY_S = 0.05
+_ANSWER_TIMEOUT_S = 1.0
 
 
 class Heartbeat:
-    """One report at a time to the leader; runs in the loop's thread.
+    """Sends heartbeats to the leader, one at a time; runs in the loop's thread.
 
     Parameters
     ----------
     loop : Loop
-        Loop of the router.
+        Event loop of the router.
     peers : Peers
         Connections to other processes.
     settings : RouterSettings
         Settings of the process.
     quota : LocalQuota
-        Grants held here.
+        Quota that is granted to this router.
     leader_address : callable
-        Address of the leader as the follower knows it.
+        Returns the last known address of the leader, empty if unknown.
     on_grant : callable
-        Called after grants came.
+        Called after grants were received.
     incarnation : str
         Random id of this process.
     """
@@ -64,42 +64,48 @@
         self._on_grant = on_grant
         self._incarnation = incarnation
         self._http_address = ""
-        self._leaving = False
-        self._busy = False
+        self._is_leaving = False
+        self._is_awaiting_answer = False
         self._sent_at = 0.0
-        self._urgent = False
-        self._hint = ""
-        self._controller = 0
-        self._closed = False
+        self._is_urgent = False
+        self._leader_hint = ""
+        self._controller_index = 0
+        self._is_closed = False
         self._timer: Timer | None = None
 
     def start(self, http_address: str) -> None:
-        """Begin to report this router under the address that callers use."""
+        """Start to send heartbeats.
+
+        Parameters
+        ----------
+        http_address : str
+            Address at which this router serves callers.
+        """
         self._http_address = http_address
         self._loop.call_soon(self._send)
 
     def close(self) -> None:
-        """Stop reporting."""
-        self._closed = True
+        """Stop sending heartbeats."""
+        self._is_closed = True
 
     def set_leaving(self) -> None:
-        """Report from now on that this router takes no new callers."""
-        self._leaving = True
-        self.hurry()
+        """Report in all further heartbeats that this router takes no new callers."""
+        self._is_leaving = True
+        self.send_soon()
 
-    def hurry(self) -> None:
-        """Report soon: a request waits for tokens."""
-        if self._urgent or self._closed:
+    def send_soon(self) -> None:
+        """Send the next heartbeat early, because a request waits for tokens."""
+        if self._is_urgent or self._is_closed:
             return
-        self._urgent = True
-        if not self._busy:
+        self._is_urgent = True
+        if not self._is_awaiting_answer:
             self._schedule(True)
 
     def _send(self) -> None:
-        if self._busy or self._closed:
+        if self._is_awaiting_answer or self._is_closed:
             return
-        self._urgent = False
-        self._busy = True
+        self._is_urgent = False
+        self._is_awaiting_answer = True
         self._sent_at = now = time.monotonic()
         asks = self._quota.asks(now)
         request = GrantRequest(
@@ -107,44 +113,44 @@
             self._incarnation,
             self._http_address,
             self._settings.failure_domain,
-            self._leaving,
+            self._is_leaving,
             self._quota.sequence,
             asks,
         )
-        future = self._peers.call(self._target(), request, _TIMEOUT_S)
-        future.add_done_callback(lambda done: self._answered(now, bool(asks), done))
+        future = self._peers.call(self._pick_controller(), request, _ANSWER_TIMEOUT_S)
+        future.add_done_callback(lambda done: self._on_answer(now, bool(asks), done))
 
-    def _target(self) -> str:
-        address = self._hint or self._leader_address()
+    def _pick_controller(self) -> str:
+        address = self._leader_hint or self._leader_address()
         if address:
             return address
         controllers = self._settings.controllers
-        return str(controllers[self._controller % len(controllers)].address)
+        return str(controllers[self._controller_index % len(controllers)].address)
 
-    def _answered(self, sent_at: float, active: bool, future: Future[Any]) -> None:
-        self._busy = False
+    def _on_answer(self, sent_at: float, has_asks: bool, future: Future[Any]) -> None:
+        self._is_awaiting_answer = False
         answer = None if future.exception() is not None else future.result()
         if isinstance(answer, GrantReply):
             self._quota.receive(sent_at, answer)
             self._on_grant()
         elif isinstance(answer, NotLeader):
-            self._hint = answer.leader_address
-            self._controller += 1
+            self._leader_hint = answer.leader_address
+            self._controller_index += 1
             if answer.leader_address:
-                self._arm(_REDIRECT_S)
+                self._set_timer(_REDIRECT_DELAY_S)
                 return
         else:
-            self._hint = ""
-            self._controller += 1
-        self._schedule(active or self._urgent)
+            self._leader_hint = ""
+            self._controller_index += 1
+        self._schedule(has_asks or self._is_urgent)
 
     def _schedule(self, is_active: bool) -> None:
-        due = self._quota.next_ask_at
+        next_at = self._quota.next_ask_at
         if not is_active:
-            due = max(due, self._sent_at + IDLE_INTERVAL_S)
-        self._arm(max(due - time.monotonic(), _MIN_DELAY_S))
+            next_at = max(next_at, self._sent_at + IDLE_INTERVAL_S)
+        self._set_timer(max(next_at - time.monotonic(), _MIN_DELAY_S))
 
-    def _arm(self, delay_s: float) -> None:
+    def _set_timer(self, delay_s: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_later(delay_s, self._send)
--- a/berylnotch/daemon/router/proposer.py
+++ b/berylnotch/daemon/router/proposer.py
@@ -1,4 +1,4 @@
-"""Proposals of a router to whichever controller leads."""
+"""Proposals of a router to the leader of the controllers."""
 
 from __future__ import annotations
 
@@ -16,28 +16,29 @@
     from berylnotch.transport.peers import Peers
     from berylnotch.util.loop import Loop
 
-_TRY_S = 1.0
-_RETRY_S = 0.05
+_ATTEMPT_TIMEOUT_S = 1.0
+_RETRY_DELAY_S = 0.05
 
-#: Gets the result, or None if none came in time.
+#: Receives the result, or None if the command was refused or timed out.
 OnResult = Callable[["Result | None"], None]
 
 
 class Proposer:
-    """Repeats a command until the leader answers; runs in the loop's thread.
+    """Retries a command until the leader answers; runs in the loop's thread.
 
-    Commands must be idempotent: a claim by its attempt, a state by its value.
+    Commands must be idempotent, because a command may be applied more than once: a
+    claim is identified by its attempt, a state by its value.
 
     Parameters
     ----------
     loop : Loop
-        Loop of the router.
+        Event loop of the router.
     peers : Peers
         Connections to other processes.
     settings : RouterSettings
         Settings of the process.
     leader_address : callable
-        Address of the leader as the follower knows it.
+        Returns the last known address of the leader, empty if unknown.
     """
 
     def __init__(
@@ -53,27 +54,39 @@
         self._leader_address = leader_address
 
     def propose(self, command: object, timeout_s: float, on_result: OnResult) -> None:
-        """Propose a command; ``on_result`` is called in the loop's thread."""
+        """Propose a command.
+
+        Parameters
+        ----------
+        command : object
+            Command to propose.
+        timeout_s : float
+            Time in seconds after which the proposal is abandoned.
+        on_result : callable
+            Called in the loop's thread with the result, or with None.
+        """
         deadline = time.monotonic() + timeout_s
         request = ProposeRequest(encode(command))
-        self._try(request, self._leader_address(), 0, deadline, on_result)
+        self._attempt(request, self._leader_address(), 0, deadline, on_result)
 
-    def _try(
+    def _attempt(
         self,
         request: ProposeRequest,
         address: str,
-        tries: int,
+        attempts: int,
         deadline: float,
         on_result: OnResult,
     ) -> None:
-        left = deadline - time.monotonic()
-        if left <= 0:
+        remaining_s = deadline - time.monotonic()
+        if remaining_s <= 0:
             on_result(None)
             return
-        address = address or self._controllers[tries % len(self._controllers)]
-        future = self._peers.call(address, request, min(left, _TRY_S))
+        address = address or self._controllers[attempts % len(self._controllers)]
+        future = self._peers.call(
+            address, request, min(remaining_s, _ATTEMPT_TIMEOUT_S)
+        )
 
-        def answered(done: Future[Any]) -> None:
+        def on_answer(done: Future[Any]) -> None:
             answer = None if done.exception() is not None else done.result()
             if isinstance(answer, ProposeReply):
                 on_result(answer.result)
@@ -81,12 +94,14 @@
             if isinstance(answer, Refused):
                 on_result(None)
                 return
-            hint = answer.leader_address if isinstance(answer, NotLeader) else ""
-            if hint == address:
-                hint = ""
+            leader_hint = answer.leader_address if isinstance(answer, NotLeader) else ""
+            if leader_hint == address:
+                leader_hint = ""
             self._loop.call_later(
-                _RETRY_S,
-                lambda: self._try(request, hint, tries + 1, deadline, on_result),
+                _RETRY_DELAY_S,
+                lambda: self._attempt(
+                    request, leader_hint, attempts + 1, deadline, on_result
+                ),
             )
 
-        future.add_done_callback(answered)
+        future.add_done_callback(on_answer)
--- a/berylnotch/daemon/router/router.py
+++ b/berylnotch/daemon/router/router.py
@@ -1,4 +1,4 @@
-"""Assembly of a router process."""
+"""Router process: callers' requests, control state, heartbeats and metrics."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
     from berylnotch.settings.router import RouterSettings
     from berylnotch.util.address import Address
 
-_TICK_S = 0.1
-_POLL_S = 0.1
+_SYNC_TICK_S = 0.1
+_DRAIN_POLL_S = 0.1
 
 
 class Router:
-    """A router: one loop for control, streams and callers' sockets.
+    """Router process; one event loop serves the control state, streams and sockets.
 
     Parameters
     ----------
@@ -68,21 +68,21 @@
         self._quota = LocalQuota(settings.quota)
         self._metrics = Metrics()
         self._executor = ThreadPoolExecutor(2, thread_name_prefix="http")
-        self._served: list[Future[None]] = []
+        self._server_futures: list[Future[None]] = []
         self._stopping = threading.Event()
 
     @property
     def http_address(self) -> Address:
-        """Address for callers."""
+        """Address at which the router serves callers."""
         return self._http.address
 
     @property
     def address(self) -> Address:
-        """Address for other routers and operators."""
+        """Address at which the router serves other routers and operators."""
         return self._listener.address
 
     def start(self) -> None:
-        """Begin to follow the control state and to serve callers."""
+        """Start to follow the control state and to serve callers."""
         settings = self._settings
         self._loop.start()
         identity = VM_PREFIX + settings.name
@@ -95,26 +95,30 @@
             settings,
             self._quota,
             lambda: self._follower.leader_address,
-            lambda: self._path.on_grant(),
+            lambda: self._request_path.on_grant(),
             self._incarnation,
         )
         self._context = self._make_context()
         stream_secret = identity_key(settings.secret, STREAM_KEY_NAME)
-        self._path = RequestPath(self._context, stream_secret)
+        self._request_path = RequestPath(self._context, stream_secret)
         key_secret = identity_key(settings.secret, CALLER_KEY_NAME)
-        app = App(self._context, self._path, key_secret, stream_secret)
+        app = App(self._context, self._request_path, key_secret, stream_secret)
         self._polling = Polling(self._context)
-        self._syncs = SyncServer(
+        self._sync_server = SyncServer(
             self._view, self._freshness.age_ms, lambda: self._follower.leader_address
         )
         self._listener = Listener(
             self._loop, parse_address(settings.listen), self._key_of, self._handle
         )
-        self._http = self._serve(settings.http, app, settings.max_body_bytes)
-        self._metrics_http = self._serve(settings.metrics, self._serve_metrics, 0)
+        self._http = self._start_server(settings.http, app, settings.max_body_bytes)
+        self._metrics_http = self._start_server(
+            settings.metrics, self._serve_metrics, 0
+        )
         self._listener.start()
-        self._loop.call_soon(self._path.start)
-        self._loop.call_every(_TICK_S, lambda: self._syncs.tick(time.monotonic()))
+        self._loop.call_soon(self._request_path.start)
+        self._loop.call_every(
+            _SYNC_TICK_S, lambda: self._sync_server.tick(time.monotonic())
+        )
         self._loop.call_soon(self._polling.start)
         self._follower.start()
         self._heartbeat.start(str(self._http.address))
@@ -127,29 +131,30 @@
         )
 
     def drain(self) -> None:
-        """Stop gracefully: leave the address answers, then finish all requests.
+        """Stop gracefully: leave the address list, then finish all running requests.
 
-        It returns when no request runs any more, or at the limit of the
-        settings.
+        Returns when no request is running, or after the time limit ``stop_limit_s`` of
+        the settings.
         """
         self._heartbeat.set_leaving()
-        # Without a text it has no route, so that nobody waits for it.
-        keep_s = self._view.fleet.address_keep_s if self._view.revision else 0.0
-        logger.info("event=router_leaving keep_s={}", keep_s)
-        # Callers that got this address before may still connect.
-        self._stopping.wait(keep_s)
-        limit = time.monotonic() + self._settings.stop_limit_s
-        # What is being read is still taken; new connections are refused.
+        # Without a configuration the router has no routes and no caller uses its
+        # address, so there is no grace period.
+        grace_period_s = self._view.fleet.address_keep_s if self._view.revision else 0.0
+        logger.info("event=router_leaving keep_s={}", grace_period_s)
+        # Callers that received this address earlier may still connect.
+        self._stopping.wait(grace_period_s)
+        deadline = time.monotonic() + self._settings.stop_limit_s
+        # Requests that are being read are still accepted; new connections are refused.
         self._http.close()
-        while self._path.running and time.monotonic() < limit:
-            self._stopping.wait(_POLL_S)
-        logger.info("event=router_drained running={}", self._path.running)
+        while self._request_path.running and time.monotonic() < deadline:
+            self._stopping.wait(_DRAIN_POLL_S)
+        logger.info("event=router_drained running={}", self._request_path.running)
 
     def close(self) -> None:
-        """Stop at once; `drain` comes first."""
+        """Stop immediately; a graceful stop calls `drain` first."""
         self._metrics_http.close()
-        for served in self._served:
-            served.result()
+        for server_future in self._server_futures:
+            server_future.result()
         self._executor.shutdown()
         self._follower.close()
         self._heartbeat.close()
@@ -162,11 +167,11 @@
     def _make_follower(self) -> Follower:
         settings = self._settings
         controllers = [c.address for c in settings.controllers]
-        # Routers begin at different controllers, so that none serves them all.
+        # Routers start with different controllers, so that no controller serves all.
         shift = sum(settings.name.encode()) % max(len(controllers), 1)
         sources = controllers[shift:] + controllers[:shift]
-        own = settings.listen
-        sources += [r.address for r in settings.routers if r.address != own]
+        own_address = settings.listen
+        sources += [r.address for r in settings.routers if r.address != own_address]
         return Follower(
             self._loop,
             self._peers,
@@ -196,31 +201,31 @@
             proposer=proposer,
             metrics=self._metrics,
             incarnation=self._incarnation,
-            hurry=self._heartbeat.hurry,
+            hurry=self._heartbeat.send_soon,
         )
 
-    def _serve(self, address: str, app: Any, max_body_bytes: int) -> HttpServer:
+    def _start_server(self, address: str, app: Any, max_body_bytes: int) -> HttpServer:
         server = HttpServer(parse_address(address), app, max_body_bytes)
         server.prepare()
-        self._served.append(self._executor.submit(server.serve))
+        self._server_futures.append(self._executor.submit(server.serve))
         return server
 
     def _serve_metrics(self, environ: dict[str, Any], start_response: Any) -> Any:
-        self._metrics.gauge("berylnotch_requests_running", self._path.running)
+        self._metrics.gauge("berylnotch_requests_running", self._request_path.running)
         self._metrics.gauge("berylnotch_revision", self._view.revision)
         text = self._metrics.render()
         response = Response(text, content_type="text/plain; version=0.0.4")
         return response(environ, start_response)
 
     def _on_view_change(self) -> None:
-        self._path.on_view_change()
-        self._syncs.tick(time.monotonic())
+        self._request_path.on_view_change()
+        self._sync_server.tick(time.monotonic())
 
     def _handle(
         self, identity: str, message: Any, reply: Callable[[object], None]
     ) -> None:
         if isinstance(message, SyncRequest) and is_vm(identity):
-            self._syncs.ask(time.monotonic(), message, reply)
+            self._sync_server.on_request(time.monotonic(), message, reply)
         elif isinstance(message, WhyRequest):
             reply(self._context.decisions.find(message.request_id))
         else:
--- a/berylnotch/daemon/syncing.py
+++ b/berylnotch/daemon/syncing.py
@@ -1,4 +1,4 @@
-"""Answers to subscribers, held back while nothing is new."""
+"""Long-polling server of control events, used by controllers and routers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     from berylnotch.control.events import VersionedEvent
 
-#: Longest time, in milliseconds, for which an answer is held back.
+#: Longest time in milliseconds for which a reply is delayed until there are new events.
 MAX_WAIT_MS = 1000
 
 
 class Source(Protocol):
-    """State that subscribers follow."""
+    """State whose events and snapshots are served to subscribers."""
 
     @property
     def version(self) -> int:
@@ -25,36 +25,39 @@
 
     @property
     def group(self) -> str:
-        """Group of controllers that made the state."""
+        """Identifier of the group of controllers that produced the state."""
 
     def events_after(self, version: int) -> tuple[VersionedEvent, ...] | None:
-        """Return newer events, or None if they are not kept any more."""
+        """Return the events after a version, or None if they were discarded."""
 
     def view_snapshot(self) -> bytes:
-        """Return the whole view."""
+        """Return a snapshot of the view."""
 
 
 @frozen
-class _Waiting:
-    """A subscriber whose answer is held back."""
+class _DelayedReply:
+    """A request whose reply is delayed, at the latest until its deadline."""
 
     version: int
-    due: float
+    deadline: float
     reply: Callable[[object], None]
 
 
 class SyncServer:
-    """Serves `SyncRequest` from a state.
+    """Answers each `SyncRequest` with newer events or a snapshot.
+
+    A request for the current version is answered when a newer version exists or its
+    wait time is over.
 
     Parameters
     ----------
     source : Source
-        The state.
+        State to serve.
     age_ms : callable
-        Age of the state's freshness at a time, in milliseconds; negative if
-        nobody vouches.
+        Returns the age of the state in milliseconds at a monotonic time in seconds;
+        negative if no leader has confirmed the state.
     leader_address : callable
-        Address of the leader, or an empty string.
+        Returns the address of the leader, or an empty string if it is unknown.
     """
 
     def __init__(
@@ -66,43 +69,44 @@
         self._source = source
         self._age_ms = age_ms
         self._leader_address = leader_address
-        self._waiting: list[_Waiting] = []
+        self._delayed: list[_DelayedReply] = []
         self._snapshot: bytes = b""
-        self._snapshot_of = ("", -1)
+        self._snapshot_key = ("", -1)
 
     @property
-    def waiting(self) -> int:
-        """Subscribers whose answer is held back."""
-        return len(self._waiting)
+    def delayed_count(self) -> int:
+        """Number of requests whose reply is delayed."""
+        return len(self._delayed)
 
-    def ask(
+    def on_request(
         self, now: float, request: SyncRequest, reply: Callable[[object], None]
     ) -> None:
-        """Answer a subscriber now, or hold the answer back."""
+        """Answer a request at once, or delay the reply if there are no new events."""
         if request.version != self._source.version or request.wait_ms <= 0:
-            reply(self._answer(now, request.version))
+            reply(self._build_reply(now, request.version))
             return
         wait_s = min(request.wait_ms, MAX_WAIT_MS) / 1000
-        self._waiting.append(_Waiting(request.version, now + wait_s, reply))
+        self._delayed.append(_DelayedReply(request.version, now + wait_s, reply))
 
     def tick(self, now: float) -> None:
-        """Answer those whose wait is over or for whom there is news."""
-        if not self._waiting:
+        """Answer the requests whose deadline has passed or that have new events."""
+        if not self._delayed:
             return
         version = self._source.version
-        due = [w for w in self._waiting if w.due <= now or w.version != version]
+        due = [d for d in self._delayed if d.deadline <= now or d.version != version]
         if not due:
             return
-        self._waiting = [
-            w for w in self._waiting if w.due > now and w.version == version
+        self._delayed = [
+            d for d in self._delayed if d.deadline > now and d.version == version
         ]
-        for waiting in due:
-            waiting.reply(self._answer(now, waiting.version))
+        for delayed_reply in due:
+            delayed_reply.reply(self._build_reply(now, delayed_reply.version))
 
-    def _answer(self, now: float, version: int) -> SyncReply:
+    def _build_reply(self, now: float, version: int) -> SyncReply:
         source = self._source
         events = source.events_after(version) if version <= source.version else None
-        # A subscriber that is ahead of a follower keeps what it has.
+        # The source lags behind this subscriber, which needs neither events nor a
+        # snapshot.
         if version > source.version:
             events = ()
         return SyncReply(
@@ -110,14 +114,15 @@
             age_ms=self._age_ms(now),
             leader_address=self._leader_address(),
             events=events or (),
-            snapshot=self._whole() if events is None else b"",
+            snapshot=self._cached_snapshot() if events is None else b"",
             group=source.group,
         )
 
-    def _whole(self) -> bytes:
-        # A herd of restarted routers asks for the same version at once.
-        wanted = (self._source.group, self._source.version)
-        if self._snapshot_of != wanted:
+    def _cached_snapshot(self) -> bytes:
+        # The snapshot is cached because many routers that restart at the same time
+        # request the same version.
+        key = (self._source.group, self._source.version)
+        if self._snapshot_key != key:
             self._snapshot = self._source.view_snapshot()
-            self._snapshot_of = wanted
+            self._snapshot_key = key
         return self._snapshot
