--- a/tests/test_daemon/conftest.py
+++ b/tests/test_daemon/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes for the daemons' tests."""
+"""Fixtures with fleets of real processes, for the tests of the daemons."""
 
 from __future__ import annotations
 
@@ -21,14 +21,17 @@
 
 
 @pytest.fixture
-def small(fleet):
-    """Three controllers, two routers, two engines, one order desk."""
+def small_fleet(fleet):
+    """A fleet of three controllers, two routers, two engines and one order desk."""
     fleet.start_controllers(("c1", "c2", "c3"), DOMAINS[:3])
     return start_small(fleet)
 
 
 def start_small(fleet, **settings):
-    """Start routers and targets beside the controllers, and apply their text."""
+    """Start routers and targets, and apply a configuration that lists them.
+
+    The controllers must be running.
+    """
     children = fleet.start_all(
         [
             lambda: fleet.start_engine("sake-1-a"),
@@ -39,73 +42,73 @@
         ]
     )
     a, b, order, entry_1, entry_2 = (child.address for child in children)
-    found = SmallFleet(
+    started = SmallFleet(
         routers=(("entry-1", entry_1), ("entry-2", entry_2)),
         engines=(("sake-1-a", a), ("sake-1-b", b)),
         plain=(("order-1", order),),
         **settings,
     )
-    assert fleet.apply(small_text(found), 0).revision == 1
-    return found
+    assert fleet.apply(small_text(started), 0).revision == 1
+    return started
 
 
 @pytest.fixture
-def key(fleet, small):
+def key(fleet, small_fleet):
     return fleet.give_key("importer-desk")
 
 
-def callers_at(small, key):
-    """Return a caller at each router, once the key is in force there."""
-    callers = [CallerClient(address, key.key) for _, address in small.routers]
+def callers_at(small_fleet, key):
+    """Return one client for each router, once that router accepts the key."""
+    callers = [CallerClient(address, key.key) for _, address in small_fleet.routers]
     for caller in callers:
         wait_for(
             lambda caller=caller: caller.send("GET", "/v1/models").status == 200,
-            "key in force",
+            "the router accepts the key",
         )
     return callers
 
 
 @pytest.fixture
-def callers(small, key):
-    return callers_at(small, key)
+def callers(small_fleet, key):
+    return callers_at(small_fleet, key)
 
 
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory):
-    """A fleet for the tests of one module that end no process."""
+    """A fleet that the tests of a module share; they must not stop its processes."""
     fleet = LocalFleet(tmp_path_factory.mktemp("fleet"))
     try:
         fleet.start_controllers(("c1", "c2", "c3"), DOMAINS[:3])
-        small = start_small(fleet, rate=1_000_000, burst=1_000_000)
-        yield Shared(small, fleet.give_key("importer-desk"))
+        small_fleet = start_small(fleet, rate=1_000_000, burst=1_000_000)
+        yield Shared(small_fleet, fleet.give_key("importer-desk"))
     finally:
         fleet.close()
 
 
 @frozen
 class Shared:
-    """A small fleet that several tests use, and a key for it."""
+    """A small fleet that several tests share, and a caller's key for it."""
 
-    small: SmallFleet
+    small_fleet: SmallFleet
     key: NewKey
 
 
 @pytest.fixture
-def shared_small(shared):
-    """The shared fleet, without faults."""
-    yield shared.small
-    for _, address in shared.small.engines + shared.small.plain:
+def shared_small_fleet(shared):
+    """The shared fleet; faults that the test injected are removed afterwards."""
+    yield shared.small_fleet
+    for _, address in shared.small_fleet.engines + shared.small_fleet.plain:
         CallerClient(address).post("/standin/faults", {})
 
 
 @pytest.fixture
 def shared_callers(shared):
-    return callers_at(shared.small, shared.key)
+    return callers_at(shared.small_fleet, shared.key)
 
 
 @pytest.fixture
 def platform():
-    """Stand-in of the users' platform."""
+    """A running stand-in for the users' platform."""
     stand_in = PlatformStandIn()
     stand_in.start()
     yield stand_in
@@ -114,7 +117,7 @@
 
 @pytest.fixture
 def platform_fleet(tmp_path, platform):
-    """Three controllers and two routers before two engines and two desks."""
+    """A fleet of three controllers, two routers, two engines and two order desks."""
     processes = FleetOfProcesses(tmp_path, platform)
     for number in (1, 2):
         platform.add(f"llm-{number}", "llm", version=1)
--- a/tests/test_daemon/support.py
+++ b/tests/test_daemon/support.py
@@ -1,4 +1,4 @@
-"""Helpers of the request path's tests."""
+"""Helpers for tests of the request path."""
 
 from __future__ import annotations
 
@@ -9,36 +9,43 @@
 PATH = "/v1/chat/completions"
 
 
-def faults(address, **settings):
+def inject_faults(address, **settings):
     answer = CallerClient(address).post("/standin/faults", settings)
     assert answer.status == 200
 
 
-def all_faults(small, **settings):
-    for _, address in small.engines:
-        faults(address, **settings)
+def inject_engine_faults(small_fleet, **settings):
+    for _, address in small_fleet.engines:
+        inject_faults(address, **settings)
 
 
-def generations(address, prompt=""):
-    """Return the generation requests with a prompt that an engine has seen."""
-    found = [s for s in seen(address) if s["path"].startswith("/v1/")]
-    return [s for s in found if prompt in s["body"]]
+def generation_requests(address, prompt=""):
+    """Return the generation requests at an engine whose body contains a prompt."""
+    requests = [
+        request
+        for request in received_requests(address)
+        if request["path"].startswith("/v1/")
+    ]
+    return [request for request in requests if prompt in request["body"]]
 
 
-def contents(answer):
-    """Return the texts of a stream's events, without the end marker."""
+def stream_contents(answer):
+    """Return the content of each event of a stream, without the end marker."""
     events = answer.events()
     assert events[-1] == "[DONE]"
     deltas = [json.loads(event)["choices"][0]["delta"] for event in events[:-1]]
     return [delta.get("content", "") for delta in deltas]
 
 
-def seen(address):
+def received_requests(address):
     return CallerClient(address).send("GET", "/standin/seen").json()
 
 
 def read_events(response, count):
-    """Read whole events from an open stream until there are ``count``."""
+    """Read at least ``count`` complete events from an open stream.
+
+    Returns fewer if the stream ends; an incomplete last event is dropped.
+    """
     data = b""
     while data.count(b"\n\n") < count:
         part = response.read1(4096)
--- a/tests/test_daemon/test_orders.py
+++ b/tests/test_daemon/test_orders.py
@@ -1,4 +1,8 @@
-"""Weights rolling out to engines, on real processes."""
+"""Rollouts of weights to engines, on real processes.
+
+The tests guard against a rollout that stops all engines of a service at once, that is
+abandoned when the leader dies, or that callers can start.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +17,8 @@
 
 
 @pytest.fixture
-def rolling(fleet):
-    """A fleet whose engines load fast; one of them ignores fencing numbers."""
+def rollout_fleet(fleet):
+    """A fleet whose engines load weights in 400 ms; one ignores fencing tokens."""
     fleet.start_controllers(("c1", "c2", "c3"), DOMAINS[:3])
     engines = (
         ("sake-1-a", fleet.start_engine("sake-1-a", "--load-ms", "400").address),
@@ -26,57 +30,78 @@
         ),
     )
     router = fleet.start_router("entry-1", DOMAINS[0])
-    small = SmallFleet((("entry-1", router.address),), engines, ())
-    text = small_text(small).replace(
+    small_fleet = SmallFleet((("entry-1", router.address),), engines, ())
+    text = small_text(small_fleet).replace(
         "[fleet]\n", "[fleet]\nweight-loads = 600 loads/min\n"
     )
     assert fleet.apply(text, 0).revision == 1
-    return small
+    return small_fleet
 
 
-def load_of(address):
+def engine_load(address):
     return CallerClient(address).send("GET", "/standin/load").json()
 
 
-def versions(fleet):
+def weights_versions(fleet):
     return [line.version for line in fleet.client.call(StatusRequest()).targets]
 
 
-def test_rollout_reaches_every_engine_and_one_always_serves(fleet, rolling):
-    (caller,) = callers_at(rolling, fleet.give_key("importer-desk"))
-    wait_for(lambda: versions(fleet) == ["v1", "v1"], "the engines' weights are known")
+def test_rollout_reaches_every_engine_and_one_always_serves(fleet, rollout_fleet):
+    (caller,) = callers_at(rollout_fleet, fleet.give_key("importer-desk"))
+    wait_for(
+        lambda: weights_versions(fleet) == ["v1", "v1"],
+        "the engines' weights are known",
+    )
     started = fleet.propose(StartRollout("r1", OPERATOR, "sake-llm", "v2"))
     assert started.status is Status.OK
-    loading_at_once = []
+    loading_counts = []
 
     def is_done():
-        loads = [load_of(address) for _, address in rolling.engines]
-        loading_at_once.append(sum(load["loading"] for load in loads))
+        loads = [engine_load(address) for _, address in rollout_fleet.engines]
+        loading_counts.append(sum(load["loading"] for load in loads))
         assert caller.chat("sake-1", "contract").status == 200
         return [load["weights"] for load in loads] == ["v2", "v2"]
 
     wait_for(is_done, "both engines hold the new weights")
-    assert max(loading_at_once) <= 1, "the last engine that serves was not ordered"
-    wait_for(lambda: versions(fleet) == ["v2", "v2"], "the result was read back")
+    assert max(loading_counts) <= 1, "no order went to the last serving engine"
+    wait_for(
+        lambda: weights_versions(fleet) == ["v2", "v2"],
+        "the control state holds the new versions",
+    )
 
 
-def test_rollout_goes_on_when_the_leader_dies(fleet, rolling):
-    wait_for(lambda: versions(fleet) == ["v1", "v1"], "the engines' weights are known")
+def test_rollout_continues_after_leader_dies(fleet, rollout_fleet):
+    wait_for(
+        lambda: weights_versions(fleet) == ["v1", "v1"],
+        "the engines' weights are known",
+    )
     started = fleet.propose(StartRollout("r1", OPERATOR, "sake-llm", "v2"))
     assert started.status is Status.OK
-    (_, first), (_, second) = rolling.engines
+    (_, first_engine), (_, second_engine) = rollout_fleet.engines
     wait_for(
-        lambda: load_of(first)["loading"] or load_of(second)["loading"],
+        lambda: (
+            engine_load(first_engine)["loading"]
+            or engine_load(second_engine)["loading"]
+        ),
         "the first order arrived",
     )
     fleet.children[fleet.leader()].kill()
-    wait_for(lambda: versions(fleet) == ["v2", "v2"], "the new leader went on")
-    assert load_of(first)["weights"] == load_of(second)["weights"] == "v2"
+    wait_for(
+        lambda: weights_versions(fleet) == ["v2", "v2"],
+        "the new leader continues the rollout",
+    )
+    assert (
+        engine_load(first_engine)["weights"]
+        == engine_load(second_engine)["weights"]
+        == "v2"
+    )
 
 
-def test_callers_cannot_reach_an_engines_orders(fleet, rolling):
-    (caller,) = callers_at(rolling, fleet.give_key("importer-desk"))
-    before = [load_of(address)["fence"] for _, address in rolling.engines]
+def test_callers_cannot_reach_an_engines_orders(fleet, rollout_fleet):
+    (caller,) = callers_at(rollout_fleet, fleet.give_key("importer-desk"))
+    fences_before = [
+        engine_load(address)["fence"] for _, address in rollout_fleet.engines
+    ]
     for path in (
         "/standin/orders",
         "/v1/standin/orders",
@@ -86,5 +111,7 @@
     ):
         answer = caller.post(path, {"kind": "load", "fence": 99, "version": "v9"})
         assert (answer.status // 100, answer.run) == (4, "not-run")
-    after = [load_of(address)["fence"] for _, address in rolling.engines]
-    assert before == after
+    fences_after = [
+        engine_load(address)["fence"] for _, address in rollout_fleet.engines
+    ]
+    assert fences_before == fences_after
--- a/tests/test_daemon/test_partition.py
+++ b/tests/test_daemon/test_partition.py
@@ -1,4 +1,8 @@
-"""A partition that leaves one controller alone, then heals; on real processes."""
+"""Network partition that isolates the leading controller, on real processes.
+
+The test guards against an isolated leader that serves stale state, and against a
+controller that unseats the new leader when the partition heals.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 HOSTS = {"c1": "127.0.0.11", "c2": "127.0.0.12", "c3": "127.0.0.13"}
 
 
-def text_for(number):
+def configuration_text(number):
     return small_text(
         SmallFleet((("entry-1", "127.0.0.1:8001"),), (), (), rate=1000 + number)
     )
@@ -30,22 +34,23 @@
 
 @pytest.fixture
 def links(fleet, loop):
-    """Controllers that reach each other only over links."""
-    found = {}
+    """Links over which the controllers reach each other; a test can cut them."""
+    links_by_name = {}
     for name, host in HOSTS.items():
-        # The link's address is needed before the process listens.
+        # The first start only finds the address that the link forwards to. The second
+        # start advertises the link's address.
         child = fleet.start_controller(name, "kolkata-a", host)
-        found[name] = Link(loop, child.address)
-        found[name].start()
+        links_by_name[name] = Link(loop, child.address)
+        links_by_name[name].start()
         child.stop()
-        fleet.start_controller(name, "kolkata-a", host, found[name].address)
+        fleet.start_controller(name, "kolkata-a", host, links_by_name[name].address)
     fleet.bootstrap(tuple(HOSTS))
-    return found
+    return links_by_name
 
 
-def isolate(links, alone):
+def isolate(links, isolated):
     for name, link in links.items():
-        sources = [HOSTS[alone]] if name != alone else HOSTS.values()
+        sources = [HOSTS[isolated]] if name != isolated else HOSTS.values()
         for source in sources:
             link.cut(source)
 
@@ -64,43 +69,51 @@
 
 
 def test_isolated_leader_serves_nothing_and_follows_again(fleet, links):
-    assert fleet.apply(text_for(1), 0).revision == 1
-    alone = fleet.leader()
-    rest = [name for name in HOSTS if name != alone]
-    isolate(links, alone)
-
-    def new_leader():
-        answers = [status_at(fleet, name) for name in rest]
-        return any(a and not isinstance(a, NotLeader) for a in answers)
-
-    wait_for(new_leader, "the majority elects a leader")
-    # The operators' way to the isolated controller still works.
-    answer = fleet.client.call_at(fleet.controllers[alone], ShowRequest(), 5.0)
+    assert fleet.apply(configuration_text(1), 0).revision == 1
+    isolated = fleet.leader()
+    majority = [name for name in HOSTS if name != isolated]
+    isolate(links, isolated)
+
+    def has_new_leader():
+        statuses = [status_at(fleet, name) for name in majority]
+        return any(status and not isinstance(status, NotLeader) for status in statuses)
+
+    wait_for(has_new_leader, "the majority elects a leader")
+    # Operators' connections to the isolated controller are not cut.
+    answer = fleet.client.call_at(fleet.controllers[isolated], ShowRequest(), 5.0)
     assert isinstance(answer, NotLeader)
-    assert fleet.apply(text_for(2), 1).revision == 2
+    assert fleet.apply(configuration_text(2), 1).revision == 2
 
-    term = next(a.term for n in rest if (a := _leading(fleet, n)))
+    term = next(
+        status.term for name in majority if (status := _leader_status(fleet, name))
+    )
     heal(links)
 
-    def follows():
-        line = next(
+    def is_following():
+        controller_line = next(
             (
-                c
-                for n in rest
-                if (a := _leading(fleet, n))
-                for c in a.controllers
-                if c.member.name == alone
+                controller
+                for name in majority
+                if (status := _leader_status(fleet, name))
+                for controller in status.controllers
+                if controller.member.name == isolated
             ),
             None,
         )
-        return line and 0 <= line.heard_ms < 1000 and line.match > 0
+        return (
+            controller_line
+            and 0 <= controller_line.heard_ms < 1000
+            and controller_line.match > 0
+        )
 
-    wait_for(follows, "the isolated controller follows")
-    leading = next(a for n in HOSTS if (a := _leading(fleet, n)))
-    assert leading.term == term, "the returning controller unseated nobody"
+    wait_for(is_following, "the isolated controller follows")
+    leader_status = next(
+        status for name in HOSTS if (status := _leader_status(fleet, name))
+    )
+    assert leader_status.term == term, "the returning controller caused no election"
     assert fleet.client.call(ShowRequest()).revision == 2
 
 
-def _leading(fleet, name):
+def _leader_status(fleet, name):
     answer = status_at(fleet, name)
     return None if answer is None or isinstance(answer, NotLeader) else answer
--- a/tests/test_daemon/test_routers.py
+++ b/tests/test_daemon/test_routers.py
@@ -1,3 +1,5 @@
+"""Life states of routers, derived from heartbeats at the leader."""
+
 from __future__ import annotations
 
 import pytest
@@ -11,7 +13,7 @@
     Subject,
 )
 from berylnotch.control.state import ControlState
-from berylnotch.daemon.controller.routers import LOST_AFTER_S, SOURCE, Routers
+from berylnotch.daemon.controller.routers import LOST_AFTER_S, SOURCE, RouterHeartbeats
 from berylnotch.quota.messages import GrantRequest
 from berylnotch.standins.texts import SmallFleet, small_text
 from berylnotch.transport.codec import encode
@@ -31,33 +33,37 @@
     return state
 
 
-def lost(incarnation):
+def lost_life_state(incarnation):
     return SetLifeState(Subject.VM, "entry-1", incarnation, LifeState.LOST, SOURCE)
 
 
 def test_silent_router_is_lost(state):
-    routers = Routers(START)
-    routers.hear(START, heartbeat())
-    (live,) = routers.changes(START, state)
+    heartbeats = RouterHeartbeats(START)
+    heartbeats.record(START, heartbeat())
+    (live,) = heartbeats.life_state_changes(START, state)
     state.apply(2, Proposal(2, encode(live)))
-    assert routers.changes(START + LOST_AFTER_S, state) == ()
-    assert routers.changes(START + LOST_AFTER_S + 0.1, state) == (lost("i1"),)
+    assert heartbeats.life_state_changes(START + LOST_AFTER_S, state) == ()
+    assert heartbeats.life_state_changes(START + LOST_AFTER_S + 0.1, state) == (
+        lost_life_state("i1"),
+    )
 
 
-def test_router_that_a_new_leader_never_heard_is_lost(state):
+def test_router_without_heartbeat_to_new_leader_is_lost(state):
     live = SetLifeState(Subject.VM, "entry-1", "i1", LifeState.LIVE, SOURCE)
     state.apply(2, Proposal(2, encode(live)))
-    routers = Routers(START)
-    assert routers.changes(START + 1, state) == ()
-    assert routers.changes(START + LOST_AFTER_S, state) == (lost("i1"),)
+    heartbeats = RouterHeartbeats(START)
+    assert heartbeats.life_state_changes(START + 1, state) == ()
+    assert heartbeats.life_state_changes(START + LOST_AFTER_S, state) == (
+        lost_life_state("i1"),
+    )
 
 
-def test_claimant_lost_before_its_first_heartbeat(state):
+def test_claiming_router_lost_before_first_heartbeat(state):
     claim = OpenClaim("importer-desk", "k", b"f", "entry-1/i1", "attempt")
     state.apply(2, Proposal(2, encode(claim)))
-    routers = Routers(START)
-    assert routers.changes(START + 1, state) == ()
-    (found,) = routers.changes(START + LOST_AFTER_S, state)
-    assert found == lost("i1")
-    state.apply(3, Proposal(3, encode(found)))
+    heartbeats = RouterHeartbeats(START)
+    assert heartbeats.life_state_changes(START + 1, state) == ()
+    (command,) = heartbeats.life_state_changes(START + LOST_AFTER_S, state)
+    assert command == lost_life_state("i1")
+    state.apply(3, Proposal(3, encode(command)))
     assert state.running_claims == ()
