--- a/berylnotch/cmd/fleetd.py
+++ b/berylnotch/cmd/fleetd.py
@@ -14,7 +14,12 @@
     SeedSource,
     read_fleet_settings,
 )
-from berylnotch.util.lines import FLUSH_S, EventLog, log_loop_errors, set_up
+from berylnotch.util.lines import (
+    FLUSH_INTERVAL_S,
+    EventLog,
+    make_loop_error_handler,
+    open_event_log,
+)
 from berylnotch.util.loop import Loop
 
 #: Exit codes.
@@ -46,8 +51,8 @@
     except BerylnotchError as error:
         print(f"berylnotch-fleetd: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
-    log = set_up(f"{args.role}/{settings.name}")
-    loop = Loop(args.role, on_error=log_loop_errors(log))
+    log = open_event_log(f"{args.role}/{settings.name}")
+    loop = Loop(args.role, on_error=make_loop_error_handler(log))
     try:
         start = _start_router if args.role == "router" else _start_controller
         stop = start(settings, _seeds(args.settings, settings, log), loop, log)
@@ -57,7 +62,7 @@
         return EXIT_FAILURE
     _stop_on_signal(loop, stop, log)
     _note_reloads(log)
-    loop.call_every(FLUSH_S, log.flush)
+    loop.call_every(FLUSH_INTERVAL_S, log.flush)
     loop.run()
     log.info("stopped")
     log.flush()
--- a/berylnotch/util/__init__.py
+++ b/berylnotch/util/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers without knowledge of routing: hashing, logs, metrics, INI reading."""
+"""Utilities that do not depend on routing: addresses, event loop, logs, metrics."""
--- a/berylnotch/util/address.py
+++ b/berylnotch/util/address.py
@@ -1,4 +1,4 @@
-"""Addresses in the form ``IP:port``."""
+"""Parsing of addresses in the form ``IP:port``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @frozen
 class Address:
-    """An IP number and a port."""
+    """An IPv4 address and a port."""
 
     host: str
     port: int
@@ -21,17 +21,17 @@
 
     @property
     def pair(self) -> tuple[str, int]:
-        """The form that `socket` takes."""
+        """Host and port as the tuple that `socket` takes."""
         return self.host, self.port
 
 
 def parse_address(text: str) -> Address:
-    """Read ``IP:port``.
+    """Parse ``IP:port``.
 
     Raises
     ------
     ConfigurationError
-        If the text is no IPv4 number and port from 0 to 65535.
+        If the text is not an IPv4 address with a port from 0 to 65535.
     """
     host, _, port = text.strip().rpartition(":")
     try:
--- a/berylnotch/util/clock.py
+++ b/berylnotch/util/clock.py
@@ -1,4 +1,4 @@
-"""Clock of leases and deadlines."""
+"""Clock for leases and deadlines."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def boot_time() -> float:
-    """Return seconds since the VM started, suspended time included.
+    """Return the seconds since the VM started, including time spent suspended.
 
-    A lease or deadline must run out while the VM is suspended, which
-    `time.monotonic` does not count.
+    A lease or deadline must also expire while the VM is suspended. `time.monotonic`
+    does not count that time.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/berylnotch/util/gathering.py
+++ b/berylnotch/util/gathering.py
@@ -1,4 +1,4 @@
-"""One action for many calls: the first of them starts a pause, at whose end it runs."""
+"""Coalescing of many calls into one delayed run of an action."""
 
 from __future__ import annotations
 
@@ -8,43 +8,45 @@
 
 
 class Gathering:
-    """An action that is due some time after the first call for it.
+    """An action that runs once, a delay after the first of several requests for it.
+
+    Further requests during the delay neither extend it nor start another run.
 
     Parameters
     ----------
     loop : Loop
-        Loop in which everything runs.
+        Event loop in which requests are made and the action runs.
     action : callable
-        What is done, once for all calls of a pause.
-    pause_s : callable
-        Returns the seconds from the first call to the action.
+        Runs once for all requests that arrive during a delay.
+    delay_s : callable
+        Returns the seconds from the first request to the run.
     """
 
     def __init__(
         self,
         loop: Loop,
         action: Callable[[], None],
-        pause_s: Callable[[], float],
+        delay_s: Callable[[], float],
     ) -> None:
         self._loop = loop
         self._action = action
-        self._pause_s = pause_s
+        self._delay_s = delay_s
         self._timer: Timer | None = None
         self._is_closed = False
 
     def soon(self) -> None:
-        """Let the action run at the end of the pause."""
+        """Schedule a run at the end of the delay, unless one is scheduled already."""
         if self._timer is None and not self._is_closed:
-            self._timer = self._loop.call_later(self._pause_s(), self._run)
+            self._timer = self._loop.call_later(self._delay_s(), self._run)
 
     def done(self) -> None:
-        """Note that the action was done otherwise; calls so far need no other."""
+        """Cancel the scheduled run, since the caller performed the action itself."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def close(self) -> None:
-        """Run the action no more."""
+        """Cancel the scheduled run and ignore later requests."""
         self._is_closed = True
         self.done()
 
--- a/berylnotch/util/lines.py
+++ b/berylnotch/util/lines.py
@@ -1,4 +1,4 @@
-"""Bounded log of key=value lines that never blocks its process."""
+"""Event log of key=value lines, with a bounded buffer and non-blocking writes."""
 
 from __future__ import annotations
 
@@ -8,34 +8,35 @@
 from collections.abc import Callable
 from datetime import UTC, datetime
 
-#: Bytes that may wait for a slow reader of the log; more lines are dropped.
-MAX_WAITING_BYTES = 256 * 1024
+#: Bytes that may be buffered for a slow reader of the log; further lines are dropped.
+MAX_BUFFER_BYTES = 256 * 1024
 
-#: Seconds for which lines are gathered before they are written.
-FLUSH_S = 0.1
+#: Seconds for which lines are buffered before they are written.
+FLUSH_INTERVAL_S = 0.1
 
-#: Lines of one event a second before only one in `SAMPLE` is written; failures
-#: are always written.
+#: INFO lines of one event per second that are all written; of those above the limit,
+#: one in `SAMPLE_INTERVAL` is written. Warnings and errors are never sampled.
 MAX_LINES_PER_S = 100
 
-#: Share of the lines above `MAX_LINES_PER_S` that is written: one in so many.
-SAMPLE = 20
+#: Above `MAX_LINES_PER_S`, one line in this many is written.
+SAMPLE_INTERVAL = 20
 
 
 class EventLog:
-    """Writes one line for each event to a descriptor.
+    """Writes one line for each event to a file descriptor.
 
-    A line has the time, the level, the process, the event and its fields. Lines
-    that find no room are counted, and the count is written once there is room.
+    A line holds the time, the level, the process, the event and its fields. Lines
+    that do not fit into the buffer are dropped and counted, and the count is logged
+    once the buffer has room again.
 
     Parameters
     ----------
     process : str
         Kind and name of the process, such as ``router/entry-1``.
     descriptor : int, default=1
-        Where to write; it is made non-blocking.
+        File descriptor to write to; it is made non-blocking.
     wall_time : callable, default=time.time
-        Returns Unix seconds.
+        Returns the Unix time in seconds.
     """
 
     def __init__(
@@ -47,104 +48,107 @@
         self._process = process
         self._descriptor = descriptor
         self._wall_time = wall_time
-        self._waiting = bytearray()
-        self._dropped = 0
-        self._sampled = 0
-        self._second = 0
-        self._counts: dict[str, int] = {}
+        self._buffer = bytearray()
+        self._dropped_lines = 0
+        self._sampled_out_lines = 0
+        self._count_second = 0
+        self._counts_by_event: dict[str, int] = {}
         os.set_blocking(descriptor, False)
 
     @property
     def dropped(self) -> int:
-        """Lines for which there was no room since the last note of it."""
-        return self._dropped
+        """Number of dropped lines since a count was last logged."""
+        return self._dropped_lines
 
     def info(self, event: str, **fields: object) -> None:
-        """Write a line about what went as it should; busy events are sampled."""
+        """Write a line about normal operation; frequent events are sampled."""
         if self._is_sampled_out(event):
-            self._sampled += 1
+            self._sampled_out_lines += 1
             return
-        self._add("INFO", event, fields)
+        self._append_line("INFO", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Write a line about a failure or refusal."""
-        self._add("WARNING", event, fields)
+        """Write a line about a failure or refusal; it is never sampled."""
+        self._append_line("WARNING", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
-        """Write a line about an error of the process itself."""
-        self._add("ERROR", event, fields)
+        """Write a line about an error of the process itself; it is never sampled."""
+        self._append_line("ERROR", event, fields)
 
     def flush(self) -> None:
-        """Write what the descriptor takes without blocking."""
-        self._note_losses()
+        """Write as much of the buffer as the descriptor accepts without blocking."""
+        self._report_losses()
         try:
-            while self._waiting:
-                written = os.write(self._descriptor, self._waiting[:65536])
-                del self._waiting[:written]
+            while self._buffer:
+                written_bytes = os.write(self._descriptor, self._buffer[:65536])
+                del self._buffer[:written_bytes]
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads the log any more; the process goes on without it.
-            self._waiting.clear()
+            # The reader is gone, for instance a closed pipe; the process continues
+            # without its log.
+            self._buffer.clear()
 
     def _is_sampled_out(self, event: str) -> bool:
         second = int(self._wall_time())
-        if second != self._second:
-            self._second = second
-            self._counts.clear()
-        count = self._counts.get(event, 0) + 1
-        self._counts[event] = count
-        return count > MAX_LINES_PER_S and count % SAMPLE != 0
-
-    def _note_losses(self) -> None:
-        if self._dropped and len(self._waiting) < MAX_WAITING_BYTES // 2:
-            dropped, self._dropped = self._dropped, 0
-            self._add("WARNING", "log_lines_dropped", {"lines": dropped})
-        if self._sampled:
-            sampled, self._sampled = self._sampled, 0
-            self._add("INFO", "log_lines_sampled", {"left_out": sampled})
-
-    def _add(self, level: str, event: str, fields: dict[str, object]) -> None:
-        if len(self._waiting) >= MAX_WAITING_BYTES:
-            self._dropped += 1
+        if second != self._count_second:
+            self._count_second = second
+            self._counts_by_event.clear()
+        count = self._counts_by_event.get(event, 0) + 1
+        self._counts_by_event[event] = count
+        return count > MAX_LINES_PER_S and count % SAMPLE_INTERVAL != 0
+
+    def _report_losses(self) -> None:
+        if self._dropped_lines and len(self._buffer) < MAX_BUFFER_BYTES // 2:
+            dropped, self._dropped_lines = self._dropped_lines, 0
+            self._append_line("WARNING", "log_lines_dropped", {"lines": dropped})
+        if self._sampled_out_lines:
+            sampled_out, self._sampled_out_lines = self._sampled_out_lines, 0
+            self._append_line("INFO", "log_lines_sampled", {"left_out": sampled_out})
+
+    def _append_line(self, level: str, event: str, fields: dict[str, object]) -> None:
+        if len(self._buffer) >= MAX_BUFFER_BYTES:
+            self._dropped_lines += 1
             return
         now = datetime.fromtimestamp(self._wall_time(), UTC)
-        pairs = "".join(f" {name}={_value(value)}" for name, value in fields.items())
+        field_text = "".join(
+            f" {name}={_format_value(value)}" for name, value in fields.items()
+        )
         line = (
             f"time={now:%Y-%m-%dT%H:%M:%S}.{now.microsecond // 1000:03d}Z "
-            f"level={level} process={self._process} event={event}{pairs}\n"
+            f"level={level} process={self._process} event={event}{field_text}\n"
         )
-        self._waiting += line.encode("utf-8", errors="replace")
+        self._buffer += line.encode("utf-8", errors="replace")
 
 
-def _value(value: object) -> str:
-    """Return a value as one word or a quoted text on one line."""
+def _format_value(value: object) -> str:
+    """Format a value as one word or as a quoted string without line breaks."""
     if isinstance(value, float):
         return f"{value:.3f}"
     text = str(value)
-    if text and not any(char in text for char in ' "=\n\r\t'):
+    if text and not any(character in text for character in ' "=\n\r\t'):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     return '"' + escaped.replace("\n", "\\n").replace("\r", "\\r") + '"'
 
 
-def log_loop_errors(log: EventLog) -> Callable[[Exception], None]:
-    """Return a handler of errors that calls of an event loop raise."""
+def make_loop_error_handler(log: EventLog) -> Callable[[Exception], None]:
+    """Return a handler that logs the errors raised by an event loop's calls."""
 
     def on_error(error: Exception) -> None:
         trace = error.__traceback__
         while trace is not None and trace.tb_next is not None:
             trace = trace.tb_next
-        where = ""
+        location = ""
         if trace is not None:
             code = trace.tb_frame.f_code
-            where = f"{os.path.basename(code.co_filename)}:{trace.tb_lineno}"
-        log.error("call_failed", error=repr(error), where=where)
+            location = f"{os.path.basename(code.co_filename)}:{trace.tb_lineno}"
+        log.error("call_failed", error=repr(error), where=location)
 
     return on_error
 
 
-def set_up(process: str) -> EventLog:
-    """Return the log of a process on standard output."""
+def open_event_log(process: str) -> EventLog:
+    """Open the event log of a process on standard output."""
     sys.stdout.flush()
     return EventLog(process, sys.stdout.fileno())
--- a/berylnotch/util/logs.py
+++ b/berylnotch/util/logs.py
@@ -1,4 +1,4 @@
-"""Set-up of the log: one line of key=value pairs for each event."""
+"""Configuration of loguru for one line of key=value pairs per event."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def set_up_logs(process: str, level: str = "INFO") -> None:
-    """Write events of at least ``level`` to standard error.
+    """Write events of level ``level`` and above to standard error.
 
     Parameters
     ----------
@@ -24,5 +24,5 @@
     """
     logger.remove()
     logger.configure(extra={"process": process})
-    # Variables of a traceback could hold a key or a prompt.
+    # The variables shown with a traceback could hold a key or a prompt.
     logger.add(sys.stderr, format=_FORMAT, level=level, diagnose=False, backtrace=False)
--- a/berylnotch/util/loop.py
+++ b/berylnotch/util/loop.py
@@ -1,4 +1,4 @@
-"""Event loop: one thread that serves sockets, timers and calls."""
+"""Single-threaded event loop for sockets, timers and queued calls."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
 
-#: Longest wait, in seconds, for a socket or timer before the loop looks again.
+#: Longest time, in seconds, that one iteration waits for a socket or a timer.
 _MAX_WAIT_S = 0.2
 
-#: Socket events after which waiting calls get their turn; a new request must
-#: not wait until hundreds of streams were served.
-_EVENTS_BETWEEN_CALLS = 8
+#: Socket events after which the queued calls run, so that a new request does not wait
+#: until the events of hundreds of streams are handled.
+_MAX_EVENTS_BETWEEN_CALLS = 8
 
 
 class Timer:
-    """A call that is due at a time; `cancel` makes it do nothing."""
+    """A call scheduled for a time; `cancel` turns it into a no-op."""
 
     __slots__ = ("due", "_call")
 
@@ -30,18 +30,18 @@
         self._call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Forget the call."""
+        """Drop the call."""
         self._call = None
 
     def run(self) -> None:
-        """Make the call unless it was cancelled."""
+        """Run the call unless it was cancelled."""
         call, self._call = self._call, None
         if call is not None:
             call()
 
 
 def _log_error(error: Exception) -> None:
-    # Imported on first use: processes that log in another way do not pay for it.
+    # Imported on first use, so that processes with another log do not load loguru.
     from loguru import logger
 
     logger.opt(exception=error).error("event=loop_call_failed")
@@ -55,7 +55,7 @@
     name : str
         Name of the thread.
     on_error : callable, optional
-        Gets an error that a call raised; it is logged by default.
+        Receives each exception that a call raises; by default it is logged.
     """
 
     def __init__(
@@ -65,51 +65,53 @@
         self._selector = selectors.DefaultSelector()
         self._calls: deque[Callable[[], None]] = deque()
         self._timers: list[tuple[float, int, Timer]] = []
-        self._order = itertools.count()
-        self._wake_in, self._wake_out = socket.socketpair()
-        self._wake_in.setblocking(False)
-        self._wake_out.setblocking(False)
+        self._sequence_numbers = itertools.count()
+        self._wake_writer, self._wake_reader = socket.socketpair()
+        self._wake_writer.setblocking(False)
+        self._wake_reader.setblocking(False)
         self._name = name
         self._executor: ThreadPoolExecutor | None = None
-        self._closing = False
+        self._is_closing = False
         self._thread_id = 0
         self._finished: Future[None] | None = None
 
     @property
     def in_thread(self) -> bool:
-        """Whether the caller runs in the loop's thread."""
+        """Whether the current thread is the loop's thread."""
         return threading.get_ident() == self._thread_id
 
     def start(self) -> None:
-        """Serve in a thread of its own until `close`."""
+        """Run the loop in a new thread until `close`."""
         self._executor = ThreadPoolExecutor(1, thread_name_prefix=self._name)
         self._finished = self._executor.submit(self.run)
 
     def close(self) -> None:
-        """Stop serving after the calls that are already queued."""
+        """Stop the loop once the calls that are already queued have run."""
         self.call_soon(self._stop)
         if self._finished is not None and not self.in_thread:
             self._finished.result()
             self._executor.shutdown()
 
     def run(self) -> None:
-        """Serve in the present thread until `close`."""
-        self._selector.register(self._wake_out, selectors.EVENT_READ, self._drain)
+        """Run the loop in the current thread until `close`."""
+        self._selector.register(
+            self._wake_reader, selectors.EVENT_READ, self._drain_wakeups
+        )
         self._thread_id = threading.get_ident()
-        while not self._closing:
+        while not self._is_closing:
             self._run_once()
         self._selector.close()
-        self._wake_in.close()
-        self._wake_out.close()
+        self._wake_writer.close()
+        self._wake_reader.close()
 
     def call_soon(self, call: Callable[[], None]) -> None:
-        """Run ``call`` in the loop's thread; any thread may ask."""
+        """Queue ``call`` for the loop's thread; safe to call from any thread."""
         self._calls.append(call)
         if not self.in_thread:
             self._wake()
 
     def call_later(self, delay_s: float, call: Callable[[], None]) -> Timer:
-        """Run ``call`` after ``delay_s`` seconds; any thread may ask."""
+        """Run ``call`` after ``delay_s`` seconds; safe to call from any thread."""
         timer = Timer(time.monotonic() + delay_s, call)
         if self.in_thread:
             self._add_timer(timer)
@@ -129,28 +131,31 @@
     def watch(
         self, sock: socket.socket | int, events: int, call: Callable[[int], None]
     ) -> None:
-        """Call ``call(events)`` while the socket is ready; 0 stops that."""
-        known = self._selector.get_map().get(sock)
+        """Call ``call(events)`` whenever the socket is ready for ``events``.
+
+        With ``events`` 0, the socket is no longer watched.
+        """
+        registered = self._selector.get_map().get(sock)
         if not events:
-            if known is not None:
+            if registered is not None:
                 self._selector.unregister(sock)
-        elif known is None:
+        elif registered is None:
             self._selector.register(sock, events, call)
-        elif known.events != events or known.data is not call:
+        elif registered.events != events or registered.data is not call:
             self._selector.modify(sock, events, call)
 
     def _run_once(self) -> None:
         ready = self._selector.select(self._wait_s())
         for position, (key, events) in enumerate(ready, start=1):
-            self._guard(lambda key=key, events=events: key.data(events))
-            if position % _EVENTS_BETWEEN_CALLS == 0:
+            self._call_safely(lambda key=key, events=events: key.data(events))
+            if position % _MAX_EVENTS_BETWEEN_CALLS == 0:
                 self._run_calls()
         self._run_timers()
         self._run_calls()
 
     def _run_calls(self) -> None:
         for _ in range(len(self._calls)):
-            self._guard(self._calls.popleft())
+            self._call_safely(self._calls.popleft())
 
     def _wait_s(self) -> float:
         if self._calls:
@@ -163,30 +168,30 @@
         now = time.monotonic()
         while self._timers and self._timers[0][0] <= now:
             _, _, timer = heapq.heappop(self._timers)
-            self._guard(timer.run)
+            self._call_safely(timer.run)
 
     def _add_timer(self, timer: Timer) -> None:
-        heapq.heappush(self._timers, (timer.due, next(self._order), timer))
+        heapq.heappush(self._timers, (timer.due, next(self._sequence_numbers), timer))
 
-    def _guard(self, call: Callable[[], object]) -> None:
-        # An error in one call must not stop the others.
+    def _call_safely(self, call: Callable[[], object]) -> None:
+        # An exception in one call must not prevent the others from running.
         try:
             call()
         except Exception as error:
             self._on_error(error)
 
     def _stop(self) -> None:
-        self._closing = True
+        self._is_closing = True
 
     def _wake(self) -> None:
         try:
-            self._wake_in.send(b"\0")
+            self._wake_writer.send(b"\0")
         except (BlockingIOError, OSError):
             return
 
-    def _drain(self, _events: int) -> None:
+    def _drain_wakeups(self, _events: int) -> None:
         try:
-            while self._wake_out.recv(4096):
+            while self._wake_reader.recv(4096):
                 continue
         except BlockingIOError:
             return
--- a/berylnotch/util/metrics.py
+++ b/berylnotch/util/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and HDR histograms, and their text form."""
+"""Counters, gauges and HDR histograms, with rendering in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from hdrh.histogram import HdrHistogram
 
 #: Largest value of a histogram, in microseconds: one hour.
-_MAX_US = 3_600_000_000
-_DIGITS = 2
+_MAX_DURATION_US = 3_600_000_000
+_SIGNIFICANT_DIGITS = 2
 _QUANTILES = (0.5, 0.95, 0.99)
 
 
 @frozen
 class Label:
-    """Name and value of one label."""
+    """Name and value of a metric's label."""
 
     name: str
     value: str
@@ -24,14 +24,14 @@
 
 @frozen
 class _Series:
-    """A metric with its labels."""
+    """A metric name with its labels."""
 
     name: str
     labels: tuple[Label, ...]
 
 
 class Metrics:
-    """All metrics of a process; any thread may use it."""
+    """All metrics of a process; its methods are thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -40,13 +40,13 @@
         self._histograms: dict[_Series, HdrHistogram] = {}
 
     def count(self, name: str, *labels: Label, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Add ``amount`` to a counter."""
         series = _Series(name, labels)
         with self._lock:
             self._counters[series] = self._counters.get(series, 0) + amount
 
     def gauge(self, name: str, value: float | None, *labels: Label) -> None:
-        """Set a gauge; None takes it out, since a made-up value would mislead."""
+        """Set a gauge; None removes it, since a substitute value would mislead."""
         series = _Series(name, labels)
         with self._lock:
             if value is None:
@@ -55,19 +55,20 @@
                 self._gauges[series] = value
 
     def observe(self, name: str, seconds: float, *labels: Label) -> None:
-        """Record a duration."""
+        """Record a duration in a histogram."""
         self.timer(name, *labels)(seconds)
 
     def timer(self, name: str, *labels: Label) -> Callable[[float], None]:
-        """Return a function that records durations of one series.
+        """Return a function that records durations, in seconds, in one histogram.
 
-        For durations so frequent that the search for their series counts.
+        For frequently recorded durations, where looking up the series on each call
+        would cost too much.
         """
         series = _Series(name, labels)
         with self._lock:
             histogram = self._histograms.get(series)
             if histogram is None:
-                histogram = HdrHistogram(1, _MAX_US, _DIGITS)
+                histogram = HdrHistogram(1, _MAX_DURATION_US, _SIGNIFICANT_DIGITS)
                 self._histograms[series] = histogram
 
         def record(seconds: float) -> None:
@@ -82,41 +83,41 @@
             return self._counters.get(_Series(name, labels), 0)
 
     def render(self) -> str:
-        """Return all metrics in the usual text format; durations in seconds."""
+        """Return all metrics in the Prometheus text format, durations in seconds."""
         lines: list[str] = []
         with self._lock:
-            for series in sorted(self._counters, key=_order):
-                lines.append(f"{_text(series)} {self._counters[series]}")
-            for series in sorted(self._gauges, key=_order):
-                lines.append(f"{_text(series)} {self._gauges[series]:g}")
-            for series in sorted(self._histograms, key=_order):
-                lines.extend(_histogram_lines(series, self._histograms[series]))
+            for series in sorted(self._counters, key=_sort_key):
+                lines.append(f"{_format_series(series)} {self._counters[series]}")
+            for series in sorted(self._gauges, key=_sort_key):
+                lines.append(f"{_format_series(series)} {self._gauges[series]:g}")
+            for series in sorted(self._histograms, key=_sort_key):
+                lines.extend(_format_histogram(series, self._histograms[series]))
         return "\n".join(lines) + "\n"
 
 
-def _order(series: _Series) -> tuple[str, str]:
-    return series.name, _text(series)
+def _sort_key(series: _Series) -> tuple[str, str]:
+    return series.name, _format_series(series)
 
 
-def _text(series: _Series) -> str:
+def _format_series(series: _Series) -> str:
     if not series.labels:
         return series.name
-    inner = ",".join(
-        f'{label.name}="{_escape(label.value)}"' for label in series.labels
+    label_text = ",".join(
+        f'{label.name}="{_escape_label(label.value)}"' for label in series.labels
     )
-    return f"{series.name}{{{inner}}}"
+    return f"{series.name}{{{label_text}}}"
 
 
-def _escape(value: str) -> str:
+def _escape_label(value: str) -> str:
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def _histogram_lines(series: _Series, histogram: HdrHistogram) -> list[str]:
+def _format_histogram(series: _Series, histogram: HdrHistogram) -> list[str]:
     lines = []
     for quantile in _QUANTILES:
         labels = (*series.labels, Label("quantile", str(quantile)))
         value = histogram.get_value_at_percentile(quantile * 100) / 1e6
-        lines.append(f"{_text(_Series(series.name, labels))} {value:.6f}")
+        lines.append(f"{_format_series(_Series(series.name, labels))} {value:.6f}")
     count = _Series(f"{series.name}_count", series.labels)
-    lines.append(f"{_text(count)} {histogram.get_total_count()}")
+    lines.append(f"{_format_series(count)} {histogram.get_total_count()}")
     return lines
--- a/tests/test_util/test_gathering.py
+++ b/tests/test_util/test_gathering.py
@@ -1,81 +1,81 @@
-"""One action for many calls."""
+"""Coalescing of many requests for an action into one delayed run."""
 
 import pytest
 
 from berylnotch.util.gathering import Gathering
 
-PAUSE_S = 0.25
+DELAY_S = 0.25
 
 
 class Timer:
-    """A timer that only a test runs."""
+    """A timer that runs only when a test calls `run`."""
 
     def __init__(self, delay_s, call):
         self.delay_s = delay_s
         self._call = call
 
     def cancel(self):
-        """Forget the call."""
+        """Drop the call."""
         self._call = None
 
     def run(self):
-        """Make the call unless it was cancelled."""
+        """Run the call unless it was cancelled."""
         if self._call is not None:
             self._call()
 
 
 class Loop:
-    """A loop that keeps its timers."""
+    """A loop that records the timers and runs none of them."""
 
     def __init__(self):
         self.timers = []
 
     def call_later(self, delay_s, call):
-        """Keep a call."""
+        """Record a delayed call."""
         self.timers.append(Timer(delay_s, call))
         return self.timers[-1]
 
 
 @pytest.fixture
 def gathering():
-    """A gathering, its loop, and what its action left."""
+    """A coalesced action, its loop, and the list of its runs."""
     loop, runs = Loop(), []
-    return Gathering(loop, lambda: runs.append("run"), lambda: PAUSE_S), loop, runs
+    return Gathering(loop, lambda: runs.append("run"), lambda: DELAY_S), loop, runs
 
 
-def test_calls_of_one_pause_run_the_action_once(gathering):
-    calls, loop, runs = gathering
+def test_calls_during_one_delay_run_the_action_once(gathering):
+    coalesced, loop, runs = gathering
     for _ in range(3):
-        calls.soon()
-    assert [timer.delay_s for timer in loop.timers] == [PAUSE_S]
+        coalesced.soon()
+    assert [timer.delay_s for timer in loop.timers] == [DELAY_S]
     loop.timers[0].run()
     assert runs == ["run"]
 
 
-def test_a_call_after_the_action_starts_another_pause(gathering):
-    calls, loop, runs = gathering
+def test_a_call_after_the_action_starts_another_delay(gathering):
+    coalesced, loop, runs = gathering
     for number in (0, 1):
-        calls.soon()
+        coalesced.soon()
         loop.timers[number].run()
     assert runs == ["run", "run"]
 
 
-def test_an_action_that_was_done_otherwise_is_not_repeated(gathering):
-    calls, loop, runs = gathering
-    calls.soon()
-    calls.done()
+def test_an_action_performed_by_the_caller_is_not_repeated(gathering):
+    coalesced, loop, runs = gathering
+    coalesced.soon()
+    coalesced.done()
     loop.timers[0].run()
     assert runs == []
-    calls.soon()
+    coalesced.soon()
     loop.timers[1].run()
     assert runs == ["run"]
 
 
-def test_nothing_runs_after_the_end(gathering):
-    calls, loop, runs = gathering
-    calls.soon()
-    calls.close()
-    calls.soon()
+def test_nothing_runs_after_close(gathering):
+    coalesced, loop, runs = gathering
+    coalesced.soon()
+    coalesced.close()
+    coalesced.soon()
     for timer in loop.timers:
         timer.run()
     assert len(loop.timers) == 1 and runs == []
--- a/tests/test_util/test_lines.py
+++ b/tests/test_util/test_lines.py
@@ -1,12 +1,21 @@
-"""The log is bounded and never blocks."""
+"""Format, sampling and memory bound of the event log.
+
+A slow or missing reader of the log must neither block the process nor let the buffer
+grow without limit.
+"""
 
 import os
 import time
 
-from berylnotch.util.lines import MAX_LINES_PER_S, MAX_WAITING_BYTES, SAMPLE, EventLog
+from berylnotch.util.lines import (
+    MAX_BUFFER_BYTES,
+    MAX_LINES_PER_S,
+    SAMPLE_INTERVAL,
+    EventLog,
+)
 
 
-def read(descriptor):
+def read_available(descriptor):
     os.set_blocking(descriptor, False)
     data = b""
     try:
@@ -17,12 +26,12 @@
     return data.decode()
 
 
-def drain(log, reader):
-    """Flush and read by turns until nothing comes any more."""
+def drain_log(log, reader):
+    """Flush and read alternately until no more data arrives."""
     text = ""
     while True:
         log.flush()
-        piece = read(reader)
+        piece = read_available(reader)
         if not piece:
             return text
         text += piece
@@ -37,7 +46,7 @@
     log, reader = make_log()
     log.warning("refused", id="a-1", reason='no "room" here', took_s=0.25)
     log.flush()
-    assert read(reader) == (
+    assert read_available(reader) == (
         "time=1970-01-01T00:16:40.000Z level=WARNING process=router/r-1 "
         'event=refused id=a-1 reason="no \\"room\\" here" took_s=0.250\n'
     )
@@ -47,10 +56,10 @@
     log, reader = make_log()
     log.error("odd", text="a\nevent=forged\r")
     log.flush()
-    assert read(reader).count("\n") == 1
+    assert read_available(reader).count("\n") == 1
 
 
-def test_a_blocked_reader_costs_lines_and_not_time_or_memory():
+def test_a_blocked_reader_drops_lines_and_bounds_time_and_memory():
     log, reader = make_log()
     started = time.monotonic()
     for number in range(20_000):
@@ -58,25 +67,25 @@
         if number % 100 == 0:
             log.flush()
     assert time.monotonic() - started < 5
-    assert len(log._waiting) <= MAX_WAITING_BYTES + 1000
-    lost = log.dropped
-    assert lost > 10_000
-    assert f"event=log_lines_dropped lines={lost}" in drain(log, reader)
+    assert len(log._buffer) <= MAX_BUFFER_BYTES + 1000
+    dropped_lines = log.dropped
+    assert dropped_lines > 10_000
+    assert f"event=log_lines_dropped lines={dropped_lines}" in drain_log(log, reader)
 
 
-def test_good_news_in_mass_is_sampled_and_failures_are_not():
+def test_frequent_info_lines_are_sampled_and_warnings_are_not():
     log, reader = make_log()
     for number in range(1000):
         log.info("served", id=number)
         log.warning("failed", id=number)
-    text = drain(log, reader)
-    served = MAX_LINES_PER_S + (1000 - MAX_LINES_PER_S) // SAMPLE
+    text = drain_log(log, reader)
+    served = MAX_LINES_PER_S + (1000 - MAX_LINES_PER_S) // SAMPLE_INTERVAL
     assert text.count("event=served") == served
     assert text.count("event=failed") == 1000
     assert f"left_out={1000 - served}" in text
 
 
-def test_a_reader_that_is_gone_does_no_harm():
+def test_a_closed_reader_raises_no_error():
     log, reader = make_log()
     os.close(reader)
     log.info("stopped")
