--- a/berylnotch/cmd/commands/check.py
+++ b/berylnotch/cmd/commands/check.py
@@ -8,7 +8,7 @@
 from berylnotch.cmd.session import Session
 from berylnotch.cmd.textfile import read_text_file
 from berylnotch.fleet.errors import FleetTextError
-from berylnotch.fleet.plan import warnings
+from berylnotch.fleet.plan import find_warnings
 from berylnotch.fleet.text import parse
 
 HELP = "check a text offline"
@@ -33,7 +33,7 @@
             raise
         session.write_json({"file": args.file, "problems": error.problems})
         return EXIT_BAD_INPUT
-    found = warnings(fleet)
+    found = find_warnings(fleet)
     if session.is_json:
         session.write_json({"file": args.file, "problems": (), "warnings": found})
         return EXIT_OK
--- a/berylnotch/cmd/commands/plan.py
+++ b/berylnotch/cmd/commands/plan.py
@@ -8,7 +8,7 @@
 from berylnotch.cmd.session import Session
 from berylnotch.cmd.textfile import read_text_file
 from berylnotch.control.protocol import ShowReply, ShowRequest
-from berylnotch.fleet.plan import plan, warnings
+from berylnotch.fleet.plan import find_warnings, plan
 from berylnotch.fleet.text import parse
 
 HELP = "show what an edit would change"
@@ -32,7 +32,7 @@
     new = parse(file.whole, file.path)
     shown = _in_force(args, session)
     old = parse(shown.text) if shown.text else None
-    lines, found = plan(old, new), warnings(new)
+    lines, found = plan(old, new), find_warnings(new)
     is_stale = not args.against and file.base_revision not in (-1, shown.revision)
     if session.is_json:
         session.write_json(
--- a/berylnotch/fleet/__init__.py
+++ b/berylnotch/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' text: services, targets, organisations and routes."""
+"""Model and parser of the operators' text: services, targets, organisations, routes."""
--- a/berylnotch/fleet/errors.py
+++ b/berylnotch/fleet/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the operators' text."""
+"""Problems in the operators' text and the error that reports them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @frozen
 class Problem:
-    """One mistake in the operators' text.
+    """One problem in the operators' text or in a settings file.
 
     Parameters
     ----------
     line : int
-        Line number from 1, or 0 if the mistake has no line.
+        Line number from 1, or 0 if the problem belongs to no line.
     message : str
-        What is wrong and what is allowed.
+        Description of the problem and of the allowed values.
     """
 
     line: int
@@ -24,12 +24,12 @@
 
 
 class FleetTextError(ConfigurationError):
-    """The operators' text is wrong.
+    """The operators' text or a settings file has problems.
 
     Parameters
     ----------
     problems : tuple of Problem
-        All mistakes, in the order of their lines.
+        All problems, at least one, in the order of their lines.
     path : str, default=""
         File that holds the text.
     """
@@ -43,7 +43,7 @@
         return "\n".join(self.lines())
 
     def lines(self) -> tuple[str, ...]:
-        """Return one ``path:line: message`` for each mistake."""
+        """Return one ``path:line: message`` for each problem."""
         return tuple(
             str(ConfigurationError(problem.message, self.path or "text", problem.line))
             for problem in self.problems
--- a/berylnotch/fleet/model.py
+++ b/berylnotch/fleet/model.py
@@ -1,4 +1,4 @@
-"""The fleet as the operators' text describes it."""
+"""Model of the fleet that the operators' text describes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ServiceKind(Enum):
-    """What a service's targets are."""
+    """Kind of back end that a service's targets are."""
 
     LANGUAGE = "language"
     PLAIN = "plain"
@@ -27,22 +27,24 @@
 
 @frozen
 class Service:
-    """Targets that answer the same requests.
+    """A group of interchangeable targets that answer the same requests.
 
     Parameters
     ----------
     name : str
         Unique name.
     kind : ServiceKind
-        What its targets are.
+        Kind of its targets.
     models : tuple of str
         Model names that callers use; only for a language service.
     weights : str
-        Version of the weights that the engines shall hold.
+        Version of the weights to which the engines are brought; only for a language
+        service.
     requires : tuple of str
-        Services without which this one refuses at once.
+        Services that this one depends on: while one of them cannot serve, requests are
+        refused at once.
     optional : tuple of str
-        Services without which this one degrades.
+        Services that this one uses but can run without, in degraded form.
     """
 
     name: str
@@ -57,8 +59,8 @@
 class Target:
     """A back end of a service.
 
-    ``checks_orders`` tells whether it refuses an order with an old fencing
-    number. ``capacity`` is in requests that it runs at once.
+    ``checks_orders`` tells whether the target itself refuses orders with an outdated
+    fencing token. ``capacity`` is the number of requests that it runs concurrently.
     """
 
     name: str
@@ -71,7 +73,7 @@
 
 @frozen
 class Organisation:
-    """A customer; ``rate`` in tokens a second, ``burst`` in tokens."""
+    """A customer; ``rate`` is in tokens per second, ``burst`` in tokens."""
 
     name: str
     rate: int
@@ -81,10 +83,10 @@
 
 @frozen
 class Route:
-    """Path prefix and the service that answers below it.
+    """A path prefix and the service that answers requests at or below it.
 
-    An ``open`` route needs no key. Methods outside ``idempotent_methods`` run
-    at most once.
+    An ``open`` route needs no key. Requests with methods outside
+    ``idempotent_methods`` run at most once. ``timeout_s`` is in seconds.
     """
 
     prefix: str
@@ -94,17 +96,17 @@
     timeout_s: float = 30.0
 
     def matches(self, path: str) -> bool:
-        """Tell whether a request path lies at or below the prefix."""
+        """Return whether a request path is the prefix or lies below it."""
         stem = self.prefix.rstrip("/")
         return path == stem or path.startswith(stem + "/") or self.prefix == "/"
 
 
 @frozen
 class Fleet:
-    """Everything that the operators' text says.
+    """The complete content of the operators' text.
 
-    The mappings go by name. ``routes`` are sorted with the longest prefix
-    first.
+    The keys of the mappings are names. ``routes`` are sorted with the longest prefix
+    first, so that the first match is the most specific route.
     """
 
     region: str = ""
@@ -118,7 +120,7 @@
     weight_loads_per_min: float = 30.0
 
     def route(self, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path``."""
+        """Return the most specific route that matches ``path``, if any."""
         return next((route for route in self.routes if route.matches(path)), None)
 
     def targets_of(self, service: str) -> tuple[Target, ...]:
@@ -128,6 +130,6 @@
         )
 
     def service_of_model(self, model: str) -> Service | None:
-        """Return the language service that serves a model."""
+        """Return the language service that serves a model, if any."""
         services = self.services.values()
         return next((service for service in services if model in service.models), None)
--- a/berylnotch/fleet/plan.py
+++ b/berylnotch/fleet/plan.py
@@ -1,4 +1,4 @@
-"""What an edit of the operators' text changes."""
+"""Comparison of two fleets: the changes that an edit of the operators' text makes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Change(Enum):
-    """How a section or setting changes."""
+    """Kind of change to a section or setting."""
 
     ADD = "add"
     REMOVE = "remove"
@@ -22,20 +22,20 @@
 
 @frozen
 class PlanLine:
-    """One line of a plan.
+    """One change in a plan.
 
     Parameters
     ----------
     change : Change
-        What happens.
+        Kind of change.
     section : str
-        Section as its header is written, without brackets.
+        Section header without the brackets.
     setting : str
-        Changed setting; empty if the whole section comes or goes.
+        Changed setting; empty if a whole section is added or removed.
     before, after : str
-        Values as they would be written.
+        Values in the form of the operators' text.
     affects : str
-        What the change does.
+        Description of the change's effect.
     """
 
     change: Change
@@ -47,11 +47,11 @@
 
     def __str__(self) -> str:
         if self.change is Change.SET:
-            head = f"~ [{self.section}] {self.setting}: {self.before} -> {self.after}"
+            text = f"~ [{self.section}] {self.setting}: {self.before} -> {self.after}"
         else:
-            sign = "+" if self.change is Change.ADD else "-"
-            head = f"{sign} [{self.section}]"
-        return f"{head}  ; {self.affects}" if self.affects else head
+            marker = "+" if self.change is Change.ADD else "-"
+            text = f"{marker} [{self.section}]"
+        return f"{text}  ; {self.affects}" if self.affects else text
 
 
 _ADDED = {
@@ -84,51 +84,51 @@
     Returns
     -------
     tuple of PlanLine
-        What changes, in the order of sections; empty if nothing does.
+        The changes, in the order of section kinds; empty if the fleets are equal.
     """
     before = old or Fleet()
-    lines = list(_compare("fleet", "fleet", before, new))
-    for kind, (old_items, new_items) in _sections(before, new).items():
-        lines.extend(_compare_kind(kind, old_items, new_items))
+    lines = list(_compare_settings("fleet", "fleet", before, new))
+    for kind, (old_items, new_items) in _items_by_kind(before, new).items():
+        lines.extend(_compare_items(kind, old_items, new_items))
     return tuple(lines)
 
 
-def warnings(new: Fleet) -> tuple[str, ...]:
-    """Return what is allowed in a text but probably not meant."""
-    found = []
+def find_warnings(new: Fleet) -> tuple[str, ...]:
+    """Return warnings about values that are allowed but probably unintended."""
+    messages = []
     for service in new.services.values():
         targets = new.targets_of(service.name)
         if not targets:
-            found.append(f"service {service.name} has no target and cannot serve")
+            messages.append(f"service {service.name} has no target and cannot serve")
         elif len(targets) == 1 and service.kind is ServiceKind.LANGUAGE:
-            found.append(
+            messages.append(
                 f"service {service.name} has one engine; its weights cannot be "
                 "changed while it serves"
             )
     for organisation in new.organisations.values():
         if organisation.burst < organisation.rate:
-            found.append(
+            messages.append(
                 f"organisation {organisation.name} has a burst below one second "
                 "of its rate"
             )
-    return tuple(found)
+    return tuple(messages)
 
 
-def _sections(old: Fleet, new: Fleet) -> dict[str, tuple[Mapping, Mapping]]:
+def _items_by_kind(old: Fleet, new: Fleet) -> dict[str, tuple[Mapping, Mapping]]:
     return {
         "vm": (old.vms, new.vms),
         "organisation": (old.organisations, new.organisations),
         "service": (old.services, new.services),
         "target": (old.targets, new.targets),
-        "route": (_by_prefix(old), _by_prefix(new)),
+        "route": (_routes_by_prefix(old), _routes_by_prefix(new)),
     }
 
 
-def _by_prefix(fleet: Fleet) -> dict[str, Any]:
+def _routes_by_prefix(fleet: Fleet) -> dict[str, Any]:
     return {route.prefix: route for route in fleet.routes}
 
 
-def _compare_kind(kind: str, old: Mapping, new: Mapping) -> Iterator[PlanLine]:
+def _compare_items(kind: str, old: Mapping, new: Mapping) -> Iterator[PlanLine]:
     for name in old:
         if name not in new:
             yield PlanLine(Change.REMOVE, f"{kind} {name}", affects=_REMOVED[kind])
@@ -136,10 +136,12 @@
         if name not in old:
             yield PlanLine(Change.ADD, f"{kind} {name}", affects=_ADDED[kind])
         else:
-            yield from _compare(kind, f"{kind} {name}", old[name], item)
+            yield from _compare_settings(kind, f"{kind} {name}", old[name], item)
 
 
-def _compare(kind: str, section: str, old: Any, new: Any) -> Iterator[PlanLine]:
+def _compare_settings(
+    kind: str, section: str, old: Any, new: Any
+) -> Iterator[PlanLine]:
     for setting in settings_of(kind).values():
         before = getattr(old, setting.field)
         after = getattr(new, setting.field)
@@ -148,7 +150,7 @@
                 Change.SET,
                 section,
                 setting.name,
-                setting.show(before),
-                setting.show(after),
+                setting.format_value(before),
+                setting.format_value(after),
                 setting.affects,
             )
--- a/berylnotch/fleet/reference.py
+++ b/berylnotch/fleet/reference.py
@@ -1,4 +1,4 @@
-"""Reference of the settings for the operators' page.
+"""Markdown reference of the operators' text, for the operators' documentation.
 
 ``python -m berylnotch.fleet.reference`` prints it.
 """
@@ -18,7 +18,7 @@
 
 
 def reference() -> str:
-    """Return the tables of all sections as Markdown."""
+    """Return the tables of settings of all sections as Markdown."""
     parts = []
     for section in SECTIONS:
         parts.append(f"### {_TITLES[section]}\n")
--- a/berylnotch/fleet/settings.py
+++ b/berylnotch/fleet/settings.py
@@ -1,6 +1,6 @@
-"""Every setting of the operators' text, declared once.
+"""Declarations of all settings of the operators' text.
 
-The reader, the error messages and the operators' page use this table.
+The parser, the error messages and the operators' documentation use this table.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 
 @frozen
 class Setting:
-    """One setting.
+    """Declaration of one setting.
 
     Parameters
     ----------
     section : str
-        Kind of section that holds it.
+        Kind of section that holds the setting.
     name : str
-        Name in the text.
+        Name of the setting in the text.
     field : str
         Field of the model class.
     convert : callable
-        Function that turns the written value into the model's; raises
-        ValueError with what is wrong and allowed.
+        Converts the text of the value into the model's value; raises ValueError that
+        says why the text is invalid.
     allowed : str
-        Type, unit and range, for people.
+        Description of the type, unit and range.
     affects : str
-        What a change of it does.
+        Description of what the setting affects.
     default : str or None, default=None
-        Value as it would be written, or None if the setting is required.
+        Default in the form of the text, or None if the setting is required.
     unit : str, default=""
-        Unit that the model's value is in.
+        Unit of the model's value.
     """
 
     section: str
@@ -48,12 +48,12 @@
     default: str | None = None
     unit: str = ""
 
-    def show(self, value: Any) -> str:
-        """Return a model's value as it is written in the text."""
-        return values.show(value, self.unit)
+    def format_value(self, value: Any) -> str:
+        """Format a value of the model in the form of the text."""
+        return values.format_value(value, self.unit)
 
 
-#: Kinds of section, each with whether its header holds a name.
+#: Kinds of section, mapped to whether the header holds a name.
 SECTIONS = {
     "fleet": False,
     "vm": True,
@@ -69,7 +69,7 @@
 _MODELS = "model names, separated by commas"
 _VERSION = "letters, digits, dots, underscores and hyphens, at most 64"
 
-#: Every setting, in the order of the operators' page.
+#: All settings, in the order of the operators' documentation.
 SETTINGS = (
     Setting(
         "fleet", "region", "region", values.name, _NAME, "only the name in reports"
@@ -273,5 +273,5 @@
 
 @cache
 def settings_of(section: str) -> dict[str, Setting]:
-    """Return a section's settings by name."""
+    """Return the settings of a kind of section by name."""
     return {setting.name: setting for setting in SETTINGS if setting.section == section}
--- a/berylnotch/fleet/text.py
+++ b/berylnotch/fleet/text.py
@@ -1,4 +1,4 @@
-"""Reading and checking the operators' text."""
+"""Reading, parsing and checking of the operators' text."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from berylnotch.errors import ConfigurationError
 from berylnotch.fleet import values
-from berylnotch.fleet.checks import check, nearest
+from berylnotch.fleet.checks import check_relations, suggest_name
 from berylnotch.fleet.errors import FleetTextError, Problem
 from berylnotch.fleet.model import Fleet, Organisation, Route, Service, Target, Vm
 from berylnotch.fleet.sections import Section, read_sections
 from berylnotch.fleet.settings import SECTIONS, Setting, settings_of
 
-#: Largest operators' text, in bytes.
+#: Maximum size of the operators' text, in bytes.
 MAX_TEXT_BYTES = 2 * 1024 * 1024
 
 _CLASSES = {
@@ -28,7 +28,7 @@
 
 
 def read(path: str) -> str:
-    """Read an operators' text from a file.
+    """Read the operators' text from a file.
 
     Raises
     ------
@@ -47,10 +47,11 @@
         raise FleetTextError((Problem(line, message),), path) from error
 
 
-# A state parses a text to check it and again when its view takes it over.
+# The control state parses a text once to check it and again to build its view; the
+# cache saves the second run.
 @lru_cache(maxsize=1)
 def parse(text: str, path: str = "") -> Fleet:
-    """Turn the operators' text into a fleet.
+    """Parse the operators' text into a fleet.
 
     Parameters
     ----------
@@ -67,29 +68,37 @@
     Raises
     ------
     FleetTextError
-        With every mistake of the text.
+        If the text has problems; the error lists all of them.
     """
     problems = list(_check_characters(text))
     if problems:
         raise FleetTextError(tuple(problems), path)
-    sections, found = read_sections(text)
-    problems.extend(found)
-    parts: dict[str, dict[str, Any]] = {kind: {} for kind in SECTIONS}
-    lines: dict[tuple[str, str], Section] = {}
+    sections, section_problems = read_sections(text)
+    problems.extend(section_problems)
+    settings_by_kind: dict[str, dict[str, Any]] = {kind: {} for kind in SECTIONS}
+    sections_by_name: dict[tuple[str, str], Section] = {}
     for section in sections:
-        read_values = _read_section(section, problems)
-        if section.kind in SECTIONS and section.name not in parts[section.kind]:
-            parts[section.kind][section.name] = read_values
-            lines[section.kind, section.name] = section
-    if "" not in parts["fleet"]:
+        settings = _read_section(section, problems)
+        if (
+            section.kind in SECTIONS
+            and section.name not in settings_by_kind[section.kind]
+        ):
+            settings_by_kind[section.kind][section.name] = settings
+            sections_by_name[section.kind, section.name] = section
+    if "" not in settings_by_kind["fleet"]:
         problems.append(Problem(1, "section [fleet] is missing"))
-    fleet = None if any(_incomplete(parts)) else _build(parts)
-    problems.extend(check(parts, lines))
+    fleet = (
+        None
+        if any(_incomplete_flags(settings_by_kind))
+        else _build_fleet(settings_by_kind)
+    )
+    problems.extend(check_relations(settings_by_kind, sections_by_name))
     if problems or fleet is None:
-        # Replicas have to build the same message, so no set here.
-        distinct = dict.fromkeys(problems)
-        ordered = sorted(distinct, key=lambda problem: problem.line)
-        raise FleetTextError(tuple(ordered), path)
+        # All replicas must build the same message, and the order of a set is not
+        # deterministic; a dict keeps the order of insertion.
+        unique_problems = dict.fromkeys(problems)
+        sorted_problems = sorted(unique_problems, key=lambda problem: problem.line)
+        raise FleetTextError(tuple(sorted_problems), path)
     return fleet
 
 
@@ -98,11 +107,11 @@
         yield Problem(0, f"the text is longer than {MAX_TEXT_BYTES} bytes")
         return
     for number, line in enumerate(text.split("\n"), start=1):
-        plain = line.replace("\t", "").replace("\r", "")
-        if plain.isprintable():
+        checked_text = line.replace("\t", "").replace("\r", "")
+        if checked_text.isprintable():
             continue
-        character = next(c for c in plain if not c.isprintable())
-        message = f"character U+{ord(character):04X} is not allowed"
+        forbidden = next(c for c in checked_text if not c.isprintable())
+        message = f"character U+{ord(forbidden):04X} is not allowed"
         yield Problem(number, message)
 
 
@@ -110,7 +119,7 @@
     if not section.kind:
         return {}
     if section.kind not in SECTIONS:
-        hint = nearest(section.kind, SECTIONS)
+        hint = suggest_name(section.kind, SECTIONS)
         message = f"unknown kind of section {section.kind!r}; {hint}"
         problems.append(Problem(section.line, message))
         return {}
@@ -120,13 +129,13 @@
     known = settings_of(section.kind)
     for name, entry in section.entries.items():
         if name not in known:
-            hint = nearest(name, known)
+            hint = suggest_name(name, known)
             message = f"unknown setting {name!r} in [{section.kind}]; {hint}"
             problems.append(Problem(entry.line, message))
-    found = {}
+    settings = {}
     for setting in known.values():
-        _read_setting(section, setting, found, problems)
-    return found
+        _read_setting(section, setting, settings, problems)
+    return settings
 
 
 def _check_name(section: Section) -> str:
@@ -146,41 +155,49 @@
 
 
 def _read_setting(
-    section: Section, setting: Setting, found: dict[str, Any], problems: list[Problem]
+    section: Section,
+    setting: Setting,
+    settings: dict[str, Any],
+    problems: list[Problem],
 ) -> None:
     entry = section.entries.get(setting.name)
     if entry is None and setting.default is None:
-        title = f"[{section.kind} {section.name}]".replace(" ]", "]")
-        message = f"{title} lacks {setting.name!r}; allowed: {setting.allowed}"
+        header = f"[{section.kind} {section.name}]".replace(" ]", "]")
+        message = f"{header} lacks {setting.name!r}; allowed: {setting.allowed}"
         problems.append(Problem(section.line, message))
         return
-    written = entry.value if entry else setting.default
+    raw_value = entry.value if entry else setting.default
     line = entry.line if entry else section.line
     try:
-        if not written and setting.default is None:
+        if not raw_value and setting.default is None:
             raise ValueError("the value is empty")
-        found[setting.field] = setting.convert(written)
+        settings[setting.field] = setting.convert(raw_value)
     except ValueError as error:
         message = f"{setting.name}: {error}; allowed: {setting.allowed}"
         problems.append(Problem(line, message))
 
 
-def _incomplete(parts: dict[str, dict[str, Any]]) -> Iterable[bool]:
-    for kind, named in parts.items():
-        for found in named.values():
-            yield len(found) < len(settings_of(kind))
+def _incomplete_flags(settings_by_kind: dict[str, dict[str, Any]]) -> Iterable[bool]:
+    for kind, settings_by_name in settings_by_kind.items():
+        for settings in settings_by_name.values():
+            yield len(settings) < len(settings_of(kind))
 
 
-def _build(parts: dict[str, dict[str, Any]]) -> Fleet:
-    built: dict[str, dict[str, Any]] = {}
+def _build_fleet(settings_by_kind: dict[str, dict[str, Any]]) -> Fleet:
+    items_by_kind: dict[str, dict[str, Any]] = {}
     for kind, cls in _CLASSES.items():
-        built[kind] = {name: cls(name, **found) for name, found in parts[kind].items()}
-    routes = sorted(built["route"].values(), key=lambda route: -len(route.prefix))
+        items_by_kind[kind] = {
+            name: cls(name, **settings)
+            for name, settings in settings_by_kind[kind].items()
+        }
+    routes = sorted(
+        items_by_kind["route"].values(), key=lambda route: -len(route.prefix)
+    )
     return Fleet(
-        vms=built["vm"],
-        services=built["service"],
-        targets=built["target"],
-        organisations=built["organisation"],
+        vms=items_by_kind["vm"],
+        services=items_by_kind["service"],
+        targets=items_by_kind["target"],
+        organisations=items_by_kind["organisation"],
         routes=tuple(routes),
-        **parts["fleet"].get("", {}),
+        **settings_by_kind["fleet"].get("", {}),
     )
--- a/berylnotch/fleet/values.py
+++ b/berylnotch/fleet/values.py
@@ -1,7 +1,7 @@
-"""Conversion of written values, with their units and ranges.
+"""Conversion of setting values from text, with checks of units and ranges.
 
-Each function takes the written value and returns the model's. It raises
-ValueError with what is wrong.
+Each conversion takes the text of a value and returns the model's value. It raises
+ValueError that says why the text is invalid.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 
 def name(text: str) -> str:
-    """Return a name."""
+    """Return a valid name."""
     if not _NAME.fullmatch(text):
         raise ValueError(f"{text!r} is not a name")
     return text
 
 
 def names(text: str) -> tuple[str, ...]:
-    """Return a list of names."""
-    return tuple(name(item) for item in _items(text))
+    """Split a comma-separated list of names."""
+    return tuple(name(item) for item in _split_list(text))
 
 
 def models(text: str) -> tuple[str, ...]:
-    """Return a list of model names."""
-    items = _items(text)
+    """Split a comma-separated list of model names."""
+    items = _split_list(text)
     for item in items:
         if not _MODEL.fullmatch(item):
             raise ValueError(f"{item!r} is not a model name")
@@ -44,8 +44,8 @@
 
 
 def methods(text: str) -> tuple[str, ...]:
-    """Return a list of HTTP methods."""
-    items = _items(text)
+    """Split a comma-separated list of HTTP methods."""
+    items = _split_list(text)
     for item in items:
         if not _METHOD.fullmatch(item):
             raise ValueError(f"{item!r} is not a method")
@@ -75,7 +75,7 @@
 
 
 def address(text: str) -> str:
-    """Return ``IP:port`` in its shortest form."""
+    """Return a normalised ``IP:port``, so that equal addresses have equal texts."""
     host, colon, port = text.rpartition(":")
     bracketed = host.startswith("[") and host.endswith("]")
     try:
@@ -90,45 +90,45 @@
 
 
 def number(low: int, high: int) -> Callable[[str], int]:
-    """Make a conversion of whole numbers from ``low`` to ``high``."""
+    """Return a conversion for integers from ``low`` to ``high``."""
 
     def convert(text: str) -> int:
         if not _NUMBER.fullmatch(text):
             raise ValueError(f"{text!r} is not a whole number")
-        return int(_in_range(int(text), low, high, text))
+        return int(_require_range(int(text), low, high, text))
 
     return convert
 
 
 def quantity(unit: str, low: int, high: int) -> Callable[[str], int]:
-    """Make a conversion of whole numbers that are written with a unit."""
+    """Return a conversion for integers from ``low`` to ``high`` with a unit."""
 
     def convert(text: str) -> int:
-        amount, written = _amount(text, unit)
-        if written != unit:
-            raise ValueError(f"unit {written!r} of {text!r} is not {unit}")
-        if "." in amount:
+        number_text, written_unit = _split_quantity(text, unit)
+        if written_unit != unit:
+            raise ValueError(f"unit {written_unit!r} of {text!r} is not {unit}")
+        if "." in number_text:
             raise ValueError(f"{text!r} is not a whole number of {unit}")
-        return int(_in_range(int(amount), low, high, text))
+        return int(_require_range(int(number_text), low, high, text))
 
     return convert
 
 
 def duration(low_s: float, high_s: float) -> Callable[[str], float]:
-    """Make a conversion of durations into seconds."""
+    """Return a conversion for durations, from ms, s or min into seconds."""
 
     def convert(text: str) -> float:
-        amount, written = _amount(text, "s")
-        if written not in _SECONDS:
-            raise ValueError(f"unit {written!r} of {text!r} is not ms, s or min")
-        seconds = float(amount) * _SECONDS[written]
-        return _in_range(seconds, low_s, high_s, text)
+        number_text, written_unit = _split_quantity(text, "s")
+        if written_unit not in _SECONDS:
+            raise ValueError(f"unit {written_unit!r} of {text!r} is not ms, s or min")
+        seconds = float(number_text) * _SECONDS[written_unit]
+        return _require_range(seconds, low_s, high_s, text)
 
     return convert
 
 
-def show(value: object, unit: str = "") -> str:
-    """Return a value of the model as it is written in the text."""
+def format_value(value: object, unit: str = "") -> str:
+    """Format a value of the model in the form of the operators' text."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, tuple):
@@ -140,7 +140,7 @@
     return str(value) or "none"
 
 
-def _items(text: str) -> tuple[str, ...]:
+def _split_list(text: str) -> tuple[str, ...]:
     if not text:
         return ()
     items = tuple(item.strip() for item in text.split(","))
@@ -152,7 +152,7 @@
     return items
 
 
-def _amount(text: str, unit: str) -> tuple[str, str]:
+def _split_quantity(text: str, unit: str) -> tuple[str, str]:
     match = _AMOUNT.fullmatch(text)
     if match is None:
         raise ValueError(f"{text!r} is not a number with a unit")
@@ -161,7 +161,7 @@
     return match[1], match[2]
 
 
-def _in_range(value: float, low: float, high: float, text: str) -> float:
+def _require_range(value: float, low: float, high: float, text: str) -> float:
     if not low <= value <= high:
         raise ValueError(f"{text!r} is out of range")
     return value
--- a/berylnotch/settings/__init__.py
+++ b/berylnotch/settings/__init__.py
@@ -1,12 +1,12 @@
-"""Settings of a process, read from its INI file."""
+"""Settings of the processes, read from INI files."""
 
 from __future__ import annotations
 
 from importlib import import_module
 from typing import Any
 
-#: Modules of the public names, imported on first use: a process of a fleet needs
-#: only its own settings.
+#: Modules that define the public names. They are imported on first use, since a process
+#: needs only its own kind of settings.
 _MODULES = {
     "ControllerAddress": "base",
     "ControllerSettings": "controller",
--- a/berylnotch/settings/base.py
+++ b/berylnotch/settings/base.py
@@ -1,4 +1,4 @@
-"""Reading of process settings: table of settings, files, secrets."""
+"""Reading of process settings: declared settings, INI files and secrets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from berylnotch.errors import ConfigurationError
 from berylnotch.fleet import values
-from berylnotch.fleet.checks import nearest
+from berylnotch.fleet.checks import suggest_name
 from berylnotch.fleet.errors import FleetTextError, Problem
 from berylnotch.fleet.sections import Section, read_sections
 from berylnotch.fleet.text import read
@@ -19,22 +19,22 @@
 
 @frozen
 class ProcessSetting:
-    """One setting of a process.
+    """Declaration of one setting of a process.
 
     Parameters
     ----------
     section : str
-        Section that holds it.
+        Section that holds the setting.
     name : str
-        Name in the file.
+        Name of the setting in the file.
     convert : callable
-        Turns the written value into the setting's; raises ValueError.
+        Converts the text of the value; raises ValueError if it is not allowed.
     allowed : str
-        Type, unit and range, for people.
+        Description of the type, unit and range.
     affects : str
-        What a change of it does.
+        Description of what the setting affects.
     default : str or None, default=None
-        Value as it would be written, or None if the setting is required.
+        Default as text in the form of the file, or None if the setting is required.
     """
 
     section: str
@@ -46,13 +46,13 @@
 
     @property
     def field(self) -> str:
-        """Name of the setting in Python."""
+        """Key of the setting in `ProcessFile.values`."""
         return self.name.replace("-", "_")
 
 
 @frozen
 class ControllerAddress:
-    """A controller as the settings name it."""
+    """Name and address of an entry in an address section."""
 
     name: str
     address: str
@@ -67,12 +67,12 @@
     routers: tuple[ControllerAddress, ...]
 
 
-#: Sections that list addresses by name instead of settings.
+#: Sections that hold ``NAME = IP:port`` entries instead of settings.
 ADDRESS_SECTIONS = ("controllers", "routers")
 
 
 def listen_address(text: str) -> str:
-    """Return ``IP:port``; port 0 picks a free one."""
+    """Return a normalised ``IP:port``; port 0 lets the system choose a free port."""
     host, _, port = text.rpartition(":")
     if port == "0":
         return values.address(f"{host}:1").rpartition(":")[0] + ":0"
@@ -80,12 +80,12 @@
 
 
 def optional_address(text: str) -> str:
-    """Return ``IP:port``, or an empty string."""
+    """Return a normalised ``IP:port``, or an empty string for an empty text."""
     return values.address(text) if text else ""
 
 
 def path(text: str) -> Path:
-    """Return a file system path."""
+    """Return a file system path; the text must not be empty."""
     if not text:
         raise ValueError("the path is empty")
     return Path(text)
@@ -97,7 +97,8 @@
     Raises
     ------
     ConfigurationError
-        With every mistake, its line and what is allowed.
+        If the file cannot be read or has errors. All errors are listed, each with its
+        line and the allowed values.
     """
     sections, found = read_sections(read(file))
     problems = list(found)
@@ -108,11 +109,11 @@
     if problems:
         problems.sort(key=lambda problem: problem.line)
         raise FleetTextError(tuple(problems), file)
-    return reader.result()
+    return reader.build_file()
 
 
 class _Reader:
-    """Collects values and problems of one file."""
+    """Collects the values and the problems of one settings file."""
 
     def __init__(
         self, table: tuple[ProcessSetting, ...], problems: list[Problem]
@@ -125,29 +126,31 @@
         }
 
     def read_section(self, section: Section) -> None:
-        """Read one section."""
-        known = {setting.section for setting in self._table} | set(ADDRESS_SECTIONS)
-        if section.kind not in known:
-            hint = nearest(section.kind, known)
-            self._add(section.line, f"unknown section [{section.kind}]; {hint}")
+        """Read one section, with its settings or addresses."""
+        known_sections = {setting.section for setting in self._table} | set(
+            ADDRESS_SECTIONS
+        )
+        if section.kind not in known_sections:
+            hint = suggest_name(section.kind, known_sections)
+            self._add_problem(section.line, f"unknown section [{section.kind}]; {hint}")
         elif section.kind in ADDRESS_SECTIONS:
             self._read_addresses(section)
         else:
             self._read_settings(section)
 
     def fill_defaults(self) -> None:
-        """Set what the file leaves out; a required setting is a problem."""
+        """Set the defaults of absent settings; report absent required settings."""
         for setting in self._table:
             if setting.field in self._values:
                 continue
             if setting.default is None:
                 name = f"{setting.name} in [{setting.section}]"
-                self._add(0, f"{name} is missing; it takes {setting.allowed}")
+                self._add_problem(0, f"{name} is missing; it takes {setting.allowed}")
             else:
                 self._values[setting.field] = setting.convert(setting.default)
 
-    def result(self) -> ProcessFile:
-        """Return what was read."""
+    def build_file(self) -> ProcessFile:
+        """Return the values and addresses that were read."""
         return ProcessFile(
             self._values,
             tuple(self._addresses["controllers"]),
@@ -159,16 +162,17 @@
         for name, entry in section.entries.items():
             setting = settings.get(name)
             if setting is None:
-                hint = nearest(name, settings)
-                self._add(entry.line, f"unknown setting {name!r}; {hint}")
+                hint = suggest_name(name, settings)
+                self._add_problem(entry.line, f"unknown setting {name!r}; {hint}")
                 continue
             try:
                 self._values[setting.field] = setting.convert(entry.value)
             except ValueError as error:
-                # The value counts as given, so that it is reported only once.
+                # An invalid value counts as present, so that the setting is not also
+                # reported as missing.
                 self._values[setting.field] = None
                 message = f"{name}: {error}; allowed: {setting.allowed}"
-                self._add(entry.line, message)
+                self._add_problem(entry.line, message)
 
     def _read_addresses(self, section: Section) -> None:
         for name, entry in section.entries.items():
@@ -176,16 +180,16 @@
                 address = values.address(entry.value)
                 found = ControllerAddress(values.name(name), address)
             except ValueError as error:
-                self._add(entry.line, f"{name}: {error}; allowed: IP:port")
+                self._add_problem(entry.line, f"{name}: {error}; allowed: IP:port")
                 continue
             self._addresses[section.kind].append(found)
 
-    def _add(self, line: int, message: str) -> None:
+    def _add_problem(self, line: int, message: str) -> None:
         self._problems.append(Problem(line, message))
 
 
 def read_secret(file: Path) -> bytes:
-    """Read a secret from a file, without the white space around it.
+    """Read a secret from a file and strip the surrounding white space.
 
     Raises
     ------
@@ -206,12 +210,12 @@
 
 
 def read_credential(file: str) -> str:
-    """Read the credential for targets; an empty name gives none.
+    """Read the credential for targets; an empty file name gives an empty credential.
 
     Raises
     ------
     ConfigurationError
-        As `read_secret`, or if it is not ASCII.
+        If the file cannot be read, or the credential is too short or not ASCII.
     """
     if not file:
         return ""
--- a/berylnotch/settings/controller.py
+++ b/berylnotch/settings/controller.py
@@ -1,4 +1,4 @@
-"""Settings of a controller."""
+"""Settings of a controller process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     read_secret,
 )
 
-#: Settings of a controller's file.
+#: Settings allowed in a controller's file.
 TABLE = (
     ProcessSetting(
         "controller", "name", values.name, "a name", "how operators see this controller"
@@ -110,25 +110,26 @@
     listen : str
         ``IP:port`` to listen on.
     data_folder : Path
-        Folder of the log and snapshots.
+        Folder for the replicated log and snapshots.
     secret : bytes
         Cluster secret.
     freshness_lease_s : float
-        How long a vouch of the leader counts.
+        Duration of the freshness lease, in seconds: how long a router accepts keys
+        without a message from the leader.
     claim_retention_s : float
-        How long closed claims are kept.
+        How long closed claims are kept, in seconds.
     advertise : str
-        ``IP:port`` that others are told; empty for that of ``listen``.
+        ``IP:port`` announced to other processes; empty for that of ``listen``.
     platform : str
-        ``IP:port`` of the platform's list; empty for none.
+        ``IP:port`` of the platform's list of VMs; empty for none.
     target_credential : str
         Credential sent to targets; empty for none.
     controllers : tuple of ControllerAddress
-        Controllers by name.
+        Names and addresses of the controllers.
     consensus : ConsensusSettings
         Settings of the replicated log.
     quota : QuotaSettings
-        Settings of grants.
+        Settings of quota grants.
     """
 
     name: str
@@ -146,7 +147,7 @@
     quota: QuotaSettings = Factory(QuotaSettings)
 
     def as_member(self, replica: str, address: str) -> Member:
-        """Return this controller as a member of the group."""
+        """Return this controller's entry in the group's list of members."""
         return Member(self.name, replica, address, self.failure_domain)
 
 
@@ -156,20 +157,20 @@
     Raises
     ------
     ConfigurationError
-        If the file or the secret is wrong.
+        If the file, the secret or the credential cannot be read or is invalid.
     """
     content = read_file(file, TABLE)
-    found = content.values
+    settings = content.values
     return ControllerSettings(
-        name=found["name"],
-        failure_domain=found["failure_domain"],
-        listen=found["listen"],
-        data_folder=found["data_folder"],
-        secret=read_secret(found["secret_file"]),
-        freshness_lease_s=found["freshness_lease"],
-        claim_retention_s=found["claim_retention"],
-        advertise=found["advertise"],
-        platform=found["platform"],
-        target_credential=read_credential(found["target_credential_file"]),
+        name=settings["name"],
+        failure_domain=settings["failure_domain"],
+        listen=settings["listen"],
+        data_folder=settings["data_folder"],
+        secret=read_secret(settings["secret_file"]),
+        freshness_lease_s=settings["freshness_lease"],
+        claim_retention_s=settings["claim_retention"],
+        advertise=settings["advertise"],
+        platform=settings["platform"],
+        target_credential=read_credential(settings["target_credential_file"]),
         controllers=content.controllers,
     )
--- a/berylnotch/settings/fleet.py
+++ b/berylnotch/settings/fleet.py
@@ -1,4 +1,4 @@
-"""Settings of the processes of a fleet, read from INI."""
+"""Settings of a fleet's processes, read from the INI file that the platform renders."""
 
 from __future__ import annotations
 
@@ -11,37 +11,38 @@
 from berylnotch.errors import ConfigurationError
 from berylnotch.util.address import Address, parse_address
 
-#: Calls a second that the list of targets answers if nothing else is set: that of the
+#: Default for the calls per second that the list of targets answers; the rate of the
 #: users' smallest deployment.
 DEFAULT_LIST_RATE = 40.0
 
 
 @frozen
 class FleetBounds:
-    """Bounds that the operators set for the whole fleet; times in seconds.
+    """Limits that the operators set for the whole fleet; times in seconds.
 
     Parameters
     ----------
     address_ttl_s : float
-        Longest time for which an address answer counts.
+        Longest validity of an address answer.
     stop_s : float
-        Time between SIGTERM and the end of a process.
+        Longest time from SIGTERM to the exit of a process.
     order_lease_s : float
-        Pause between orders of two controllers to one engine.
+        Minimum time between orders of two different controllers to one engine.
     retry_ratio : float
-        Requests sent again, in parts of those sent first.
+        Allowed retries as a fraction of first attempts.
     retry_window_s : float
-        Window in which they are counted.
+        Window in which retries and first attempts are counted.
     retry_slack : float
-        Requests sent again that are allowed beside that, over all routers.
+        Number of retries allowed in addition to the ratio, over all routers.
     quota_window_s : float
-        Window in which an organisation's use is counted.
+        Window in which an organisation's token use is counted.
     quota_overshoot : float
-        Part by which its use may exceed rate and burst.
+        Fraction by which its use may exceed rate and burst.
     quota_slack : float
-        Tokens that its use may exceed them by, beside that.
+        Tokens by which its use may exceed them in addition to the fraction.
     weights_s : float
-        Time after new weights were named in which requests may begin on older ones.
+        Time after the announcement of new weights in which requests may still begin on
+        older weights.
     """
 
     address_ttl_s: float = 5.0
@@ -58,7 +59,7 @@
 
 @frozen
 class FleetSettings:
-    """What a process of a fleet is told.
+    """Settings of one process of a fleet.
 
     Parameters
     ----------
@@ -67,34 +68,35 @@
     ip : str
         Address of its VM.
     failure_domain : str
-        Where the VM runs.
+        Failure domain of the VM.
     listen : Address
-        Where callers connect, or the operators and engines at a controller.
+        Listening address: of a router for callers, of a controller for operators and
+        engines.
     ready : Address or None
-        Where a router answers whether it is ready.
+        Address at which a router answers readiness checks.
     directory : Address or None
-        Where a router tells callers which router to use.
+        Address at which a router answers callers that ask which router to use.
     internal_port : int
         Port of the links between processes.
     metrics : Address
-        Where metrics are served.
+        Address at which metrics are served.
     seeds : tuple of Address
-        Controllers to ask first, by their ``listen`` addresses.
+        ``listen`` addresses of the controllers to contact first.
     founds_group : bool
         Whether the whole fleet starts for the first time, with empty disks.
     data : Path or None
         Data folder of a controller.
     target_list : Address or None
-        Where the platform lists the targets.
+        Address of the platform's list of targets.
     target_list_period_s : float
-        Pause between two readings of the list.
+        Seconds between two reads of the list.
     target_list_rate : float
-        Calls a second that the list answers for the whole fleet.
+        Calls per second that the list answers for the whole fleet.
     bounds : FleetBounds
-        Bounds of the fleet.
+        Limits of the fleet.
     forwarded : Address or None, default=None
-        Where links are accepted, if others reach this process by way of a forwarder
-        at `internal`.
+        Address at which links are accepted, if other processes reach this one through
+        a forwarder at `internal`.
     """
 
     name: str
@@ -116,17 +118,17 @@
 
     @property
     def internal(self) -> Address:
-        """Where other processes open links to this one."""
+        """Address to which other processes open links."""
         return Address(self.ip, self.internal_port)
 
     @property
     def links_listen(self) -> Address:
-        """Where links of other processes are accepted."""
+        """Address at which this process accepts links."""
         return self.forwarded or self.internal
 
     @property
     def seed_links(self) -> tuple[str, ...]:
-        """Addresses of the seeds' links; all controllers use the same port."""
+        """Link addresses of the seeds; all controllers use the same internal port."""
         return tuple(str(Address(seed.host, self.internal_port)) for seed in self.seeds)
 
 
@@ -145,7 +147,7 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
         raise ConfigurationError(str(error), str(path)) from error
     try:
-        return _settings(parser)
+        return _build_settings(parser)
     except (ValueError, configparser.Error) as error:
         raise ConfigurationError(str(error), str(path)) from error
     except ConfigurationError as error:
@@ -153,18 +155,19 @@
 
 
 class SeedSource:
-    """Seeds of the settings file, which may change while the process runs.
+    """Provides the seeds of a settings file that may change while the process runs.
 
     Parameters
     ----------
     path : str or Path
         Settings file.
     settings : FleetSettings
-        Settings as they were read at the start.
+        Settings that were read at process start.
     on_change : callable
-        Gets new seeds, as text.
+        Called with the new seeds, as comma-separated text, when they change.
     on_error : callable
-        Gets the error of a file that cannot be read; the seeds then stay.
+        Called with the error if the file cannot be read; the last seeds then remain in
+        use.
     """
 
     def __init__(
@@ -180,7 +183,7 @@
         self._on_error = on_error
 
     def __call__(self) -> tuple[str, ...]:
-        """Return the addresses of the seeds' links, as the file has them now."""
+        """Read the file again and return the link addresses of its seeds."""
         try:
             seeds = read_fleet_settings(self._path).seed_links
         except ConfigurationError as error:
@@ -192,13 +195,13 @@
         return self._seeds
 
 
-def _settings(parser: configparser.ConfigParser) -> FleetSettings:
+def _build_settings(parser: configparser.ConfigParser) -> FleetSettings:
     if not parser.has_section("process"):
         raise ConfigurationError("section [process] is missing")
     process = parser["process"]
-    first_port = _required(process, "internal-ports").split(",")[0]
+    first_port = _required_value(process, "internal-ports").split(",")[0]
     internal_port, metrics_port = int(first_port), int(first_port) + 1
-    ip = _required(process, "ip")
+    ip = _required_value(process, "ip")
     data = process.get("data", "")
     founds_group = process.getboolean("founds-group")
     seeds = process.get("seeds")
@@ -206,27 +209,27 @@
         missing = "seeds" if seeds is None else "founds-group"
         raise ConfigurationError(f"setting {missing} is missing")
     return FleetSettings(
-        name=_required(process, "name"),
+        name=_required_value(process, "name"),
         ip=ip,
-        failure_domain=_required(process, "failure-domain"),
-        listen=parse_address(_required(process, "listen")),
-        ready=_optional(process.get("ready", "")),
-        directory=_optional(process.get("directory", "")),
+        failure_domain=_required_value(process, "failure-domain"),
+        listen=parse_address(_required_value(process, "listen")),
+        ready=_optional_address(process.get("ready", "")),
+        directory=_optional_address(process.get("directory", "")),
         internal_port=internal_port,
         metrics=Address(ip, metrics_port),
         seeds=tuple(parse_address(seed) for seed in seeds.split(",") if seed),
         founds_group=founds_group,
         data=Path(data) if data else None,
-        target_list=_optional(process.get("target-list", "")),
+        target_list=_optional_address(process.get("target-list", "")),
         target_list_period_s=process.getfloat("target-list-period-s", 1.0),
-        target_list_rate=_rate(process.get("target-list-rate", "")),
-        forwarded=_optional(process.get("links-listen", "")),
-        bounds=_bounds(parser["bounds"] if parser.has_section("bounds") else {}),
+        target_list_rate=_parse_list_rate(process.get("target-list-rate", "")),
+        forwarded=_optional_address(process.get("links-listen", "")),
+        bounds=_build_bounds(parser["bounds"] if parser.has_section("bounds") else {}),
     )
 
 
-def _bounds(values: configparser.SectionProxy | dict[str, str]) -> FleetBounds:
-    names = {
+def _build_bounds(values: configparser.SectionProxy | dict[str, str]) -> FleetBounds:
+    fields_by_name = {
         "address-ttl-s": "address_ttl_s",
         "stop-s": "stop_s",
         "order-lease-s": "order_lease_s",
@@ -238,31 +241,35 @@
         "quota-slack": "quota_slack",
         "weights-s": "weights_s",
     }
-    read = {names[name]: float(values[name]) for name in names if values.get(name)}
-    # Milliseconds are taken too, for settings that a platform renders in them.
+    bounds = {
+        fields_by_name[name]: float(values[name])
+        for name in fields_by_name
+        if values.get(name)
+    }
+    # The platform renders some bounds in milliseconds, so these are accepted as well.
     for name, field_name in (
         ("order-lease-ms", "order_lease_s"),
         ("weights-ms", "weights_s"),
     ):
         if values.get(name):
-            read[field_name] = float(values[name]) / 1000
-    return FleetBounds(**read)
+            bounds[field_name] = float(values[name]) / 1000
+    return FleetBounds(**bounds)
 
 
-def _rate(text: str) -> float:
-    """Return calls a second; none or 0 means that the platform states no rate."""
+def _parse_list_rate(text: str) -> float:
+    """Return calls per second; empty or 0 means that the platform states no rate."""
     rate = float(text or 0)
     if rate < 0:
         raise ConfigurationError(f"target-list-rate is {rate:g}, which is below 0")
     return rate or DEFAULT_LIST_RATE
 
 
-def _required(section: configparser.SectionProxy, name: str) -> str:
+def _required_value(section: configparser.SectionProxy, name: str) -> str:
     value = section.get(name)
     if not value:
         raise ConfigurationError(f"setting {name} is missing")
     return value
 
 
-def _optional(text: str) -> Address | None:
+def _optional_address(text: str) -> Address | None:
     return parse_address(text) if text else None
--- a/berylnotch/settings/router.py
+++ b/berylnotch/settings/router.py
@@ -1,4 +1,4 @@
-"""Settings of a router."""
+"""Settings of a router process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from berylnotch.streams.inputs import ExchangeSettings
 
-#: Settings of a router's file.
+#: Settings allowed in a router's file.
 TABLE = (
     ProcessSetting(
         "router",
@@ -114,15 +114,17 @@
     secret : bytes
         Cluster secret.
     controllers, routers : tuple of ControllerAddress
-        Where the control state comes from, in order of preference.
+        Processes from which the router fetches the control state, in order of
+        preference.
     freshness_lease_s : float
-        How long a vouch of the leader counts.
+        Duration of the freshness lease, in seconds: how long the router accepts keys
+        without a message from the leader.
     max_body_bytes : int
-        Longest request body.
+        Largest request body, in bytes.
     target_credential : str
         Credential sent to targets; empty for none.
     stop_limit_s : float
-        Longest planned stop.
+        Longest time, in seconds, that a planned stop waits for running requests.
     """
 
     name: str
@@ -151,21 +153,21 @@
     Raises
     ------
     ConfigurationError
-        If the file or the secret is wrong.
+        If the file, the secret or the credential cannot be read or is invalid.
     """
     content = read_file(file, TABLE)
-    found = content.values
+    settings = content.values
     return RouterSettings(
-        name=found["name"],
-        failure_domain=found["failure_domain"],
-        http=found["http"],
-        listen=found["listen"],
-        metrics=found["metrics"],
-        secret=read_secret(found["secret_file"]),
+        name=settings["name"],
+        failure_domain=settings["failure_domain"],
+        http=settings["http"],
+        listen=settings["listen"],
+        metrics=settings["metrics"],
+        secret=read_secret(settings["secret_file"]),
         controllers=content.controllers,
         routers=content.routers,
-        freshness_lease_s=found["freshness_lease"],
-        max_body_bytes=found["max_body"] * 1024,
-        target_credential=read_credential(found["target_credential_file"]),
-        stop_limit_s=found["stop_limit"],
+        freshness_lease_s=settings["freshness_lease"],
+        max_body_bytes=settings["max_body"] * 1024,
+        target_credential=read_credential(settings["target_credential_file"]),
+        stop_limit_s=settings["stop_limit"],
     )
--- a/tests/test_fleet/test_plan.py
+++ b/tests/test_fleet/test_plan.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from berylnotch.fleet.plan import plan, warnings
+from berylnotch.fleet.plan import find_warnings, plan
 from berylnotch.fleet.reference import reference
 from berylnotch.fleet.text import parse
 from tests.test_control.helpers import TEXT
@@ -22,7 +22,7 @@
 def test_warnings():
     text = TEXT.replace("burst = 300 tokens", "burst = 50 tokens")
     text += "[service spare]\nkind = plain\n"
-    assert warnings(parse(text)) == (
+    assert find_warnings(parse(text)) == (
         "service spare has no target and cannot serve",
         "organisation clerks has a burst below one second of its rate",
     )
--- a/tests/test_fleet/test_text.py
+++ b/tests/test_fleet/test_text.py
@@ -14,7 +14,7 @@
 EXAMPLES = Path(__file__).parents[2] / "examples"
 SENGUPTA = EXAMPLES / "sengupta.ini"
 
-#: Name, edit of the bytes, then the line and a part of the expected message.
+#: Name of the case, replacement in the file's bytes, and part of the expected message.
 BROKEN = (
     ("unknown-name", (b"capacity = 64", b"capacty = 64"), "did you mean 'capacity'?"),
     (
@@ -76,7 +76,7 @@
         parse(read(str(path)), str(path))
     first = str(caught.value).splitlines()[0]
     line = line_of(data, edit[0])
-    # The edit that makes a cycle adds a line after the found one.
+    # The edit of the cycle case adds a line, and the problem is on the added line.
     line += edit[1].count(b"\n")
     assert first.startswith(f"{path}:{line}: ")
     assert message in first
--- a/tests/test_settings/test_fleet.py
+++ b/tests/test_settings/test_fleet.py
@@ -1,4 +1,4 @@
-"""Settings of a fleet's processes."""
+"""Reading of the settings files of a fleet's processes."""
 
 import pytest
 
@@ -97,7 +97,7 @@
 
 
 def test_an_unknown_setting_is_ignored(read):
-    # The platform may render new ones.
+    # A newer platform may render settings that this version does not know.
     assert read(GOOD + "new-bound = 5\n").name == "core-1"
 
 
--- a/tests/test_settings/test_fleet_page.py
+++ b/tests/test_settings/test_fleet_page.py
@@ -1,4 +1,4 @@
-"""The page on a fleet's settings names just those that are read."""
+"""The documentation of a fleet's settings names exactly those that the code reads."""
 
 import re
 from pathlib import Path
@@ -10,7 +10,7 @@
 SOURCE = Path(fleet.__file__).read_text(encoding="utf-8")
 TEMPLATES = [ROOT / "deploy" / f"{role}.ini" for role in ("router", "controller")]
 
-#: A setting's name in quotes, as the reader of settings has it.
+#: A quoted setting name in the source of the settings reader.
 READ = re.compile(r'"([a-z]+(?:-[a-z]+)+|name|ip|listen|ready|directory|seeds|data)"')
 
 
--- a/tests/test_settings/test_missing.py
+++ b/tests/test_settings/test_missing.py
@@ -1,4 +1,4 @@
-"""A required setting that is missing is named, with what it takes."""
+"""The error about a missing required setting names it and its allowed values."""
 
 from __future__ import annotations
 
--- a/tests/test_settings/test_page.py
+++ b/tests/test_settings/test_page.py
@@ -1,4 +1,4 @@
-"""The page on settings agrees with the tables in the code."""
+"""The documentation of the settings agrees with the tables in the code."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def rows(section):
-    """Return the page's rows below the heading of a section, by name."""
+    """Return the table rows below a section's heading on the page, by setting name."""
     _, _, rest = PAGE.read_text(encoding="utf-8").partition(f"### `[{section}]`")
     part = rest.partition("\n#")[0]
     return {found[0]: found[1:] for found in ROW.findall(part)}
