--- a/berylnotch/cmd/commands/address.py
+++ b/berylnotch/cmd/commands/address.py
@@ -1,4 +1,4 @@
-"""``berylnotch address``: ask which entry VM a caller should use."""
+"""Command ``berylnotch address``: ask which entry VM a caller should use."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
     query = {"organisation": args.organisation, "failure-domain": args.failure_domain}
-    answer = _ask_any(_routers(args.router, session), query)
+    answer = _ask_first(_routers(args.router, session), query)
     addresses = answer["addresses"]
     if session.is_json:
         session.write_json(answer)
@@ -46,17 +46,18 @@
     return EXIT_OK if addresses else EXIT_FAILURE
 
 
-def _routers(given: str, session: Session) -> tuple[str, ...]:
-    if given:
-        return (given,)
-    heard = [line.http_address for line in session.call(StatusRequest()).routers]
-    # A new leader has not heard every router yet; the text names all of them.
+def _routers(router: str, session: Session) -> tuple[str, ...]:
+    if router:
+        return (router,)
+    reported = [line.http_address for line in session.call(StatusRequest()).routers]
+    # A new leader has not yet received heartbeats of all routers, but the operators'
+    # text names all of them.
     text = session.call(ShowRequest()).text
-    named = [vm.address for vm in parse(text).vms.values()] if text else []
-    return tuple(dict.fromkeys([*heard, *named]))
+    configured = [vm.address for vm in parse(text).vms.values()] if text else []
+    return tuple(dict.fromkeys([*reported, *configured]))
 
 
-def _ask_any(routers: tuple[str, ...], query: dict[str, str]) -> dict:
+def _ask_first(routers: tuple[str, ...], query: dict[str, str]) -> dict:
     failure = "no entry VM is known"
     for router in routers:
         try:
--- a/berylnotch/cmd/commands/apply.py
+++ b/berylnotch/cmd/commands/apply.py
@@ -1,4 +1,4 @@
-"""``berylnotch apply``: put a text in force."""
+"""Command ``berylnotch apply``: put an operators' text in force."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
     file = read_text_file(args.file)
-    parse(file.whole, file.path)
+    parse(file.content, file.path)
     base = file.base_revision if args.base is None else args.base
     if base < 0:
         message = (
@@ -43,7 +43,7 @@
         raise ConfigurationError(message, args.file)
     command = ApplyText(session.change_id, session.operator, base, file.text)
     result = session.propose(command)
-    code = session.finish(result, f"revision {result.revision} is in force")
+    code = session.write_result(result, f"revision {result.revision} is in force")
     if code == EXIT_OK and file.base_revision >= 0:
         write_text_file(file.path, file.text, result.revision)
     return code
--- a/berylnotch/cmd/commands/bootstrap.py
+++ b/berylnotch/cmd/commands/bootstrap.py
@@ -1,4 +1,4 @@
-"""``berylnotch bootstrap``: begin a group of controllers."""
+"""Command ``berylnotch bootstrap``: create the group of controllers."""
 
 from __future__ import annotations
 
@@ -24,12 +24,14 @@
 
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
-    joined = _ask_all(session)
-    found = sorted((reply.member for reply in joined.values()), key=lambda m: m.name)
-    members = Members(tuple(found))
-    # Whoever belongs to a group already is asked first, so that a conflict shows
-    # before anything is changed.
-    for address in sorted(joined, key=lambda item: not joined[item].in_group):
+    replies = _ask_controllers(session)
+    sorted_members = sorted(
+        (reply.member for reply in replies.values()), key=lambda m: m.name
+    )
+    members = Members(tuple(sorted_members))
+    # Controllers that already belong to a group are asked first, so that a conflict is
+    # detected before anything is changed.
+    for address in sorted(replies, key=lambda item: not replies[item].in_group):
         answer = session.client.call_at(address, BootstrapRequest(members))
         if answer.members != members:
             names = ", ".join(member.name for member in answer.members.members)
@@ -43,8 +45,8 @@
     return EXIT_OK
 
 
-def _ask_all(session: Session) -> dict[str, JoinReply]:
-    joined = {}
+def _ask_controllers(session: Session) -> dict[str, JoinReply]:
+    replies = {}
     for controller in session.settings.controllers:
         reply = session.client.call_at(controller.address, JoinRequest())
         if reply.member.name != controller.name:
@@ -53,5 +55,5 @@
                 f"not {controller.name}"
             )
             raise TransportError(message)
-        joined[controller.address] = reply
-    return joined
+        replies[controller.address] = reply
+    return replies
--- a/berylnotch/cmd/commands/check.py
+++ b/berylnotch/cmd/commands/check.py
@@ -1,4 +1,4 @@
-"""``berylnotch check``: check a text offline."""
+"""Command ``berylnotch check``: check an operators' text offline."""
 
 from __future__ import annotations
 
@@ -27,17 +27,19 @@
     """Run the command."""
     try:
         file = read_text_file(args.file)
-        fleet = parse(file.whole, file.path)
+        fleet = parse(file.content, file.path)
     except FleetTextError as error:
         if not session.is_json:
             raise
         session.write_json({"file": args.file, "problems": error.problems})
         return EXIT_BAD_INPUT
-    found = find_warnings(fleet)
+    warning_texts = find_warnings(fleet)
     if session.is_json:
-        session.write_json({"file": args.file, "problems": (), "warnings": found})
+        session.write_json(
+            {"file": args.file, "problems": (), "warnings": warning_texts}
+        )
         return EXIT_OK
-    for warning in found:
+    for warning in warning_texts:
         session.write(f"{args.file}: warning: {warning}")
     session.write(
         f"{args.file}: right; {len(fleet.services)} services, "
--- a/berylnotch/cmd/commands/claims.py
+++ b/berylnotch/cmd/commands/claims.py
@@ -1,4 +1,4 @@
-"""``berylnotch claims``: look at and settle non-idempotent requests."""
+"""Command ``berylnotch claims``: show and settle non-idempotent requests."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         ClaimState(args.state),
         args.note,
     )
-    return session.finish(session.propose(command), f"settled as {args.state}")
+    return session.write_result(session.propose(command), f"settled as {args.state}")
 
 
 def _show(args: argparse.Namespace, session: Session) -> int:
@@ -50,11 +50,11 @@
     if session.is_json:
         session.write_json(claim)
     else:
-        session.write(_describe(claim) if claim else "there is no such request")
+        session.write(_format_claim(claim) if claim else "there is no such request")
     return EXIT_OK if claim else EXIT_FAILURE
 
 
-def _describe(claim: ClaimRecord) -> str:
+def _format_claim(claim: ClaimRecord) -> str:
     lines = [
         f"state:    {claim.state.value}",
         f"router:   {claim.router}",
@@ -63,8 +63,8 @@
         f"closed:   {format_ms(claim.closed_ms)}",
     ]
     if claim.http_status:
-        size = len(claim.body)
-        lines.append(f"answer:   {claim.http_status}, {size} bytes stored")
+        body_size = len(claim.body)
+        lines.append(f"answer:   {claim.http_status}, {body_size} bytes stored")
     if claim.note:
         lines.append(f"note:     {claim.note}")
     return "\n".join(lines)
--- a/berylnotch/cmd/commands/completion.py
+++ b/berylnotch/cmd/commands/completion.py
@@ -1,4 +1,4 @@
-"""``berylnotch completion``: completion for the shell."""
+"""Command ``berylnotch completion``: print a shell completion script."""
 
 from __future__ import annotations
 
@@ -41,15 +41,15 @@
 
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
-    session.write(script(args.parser))
+    session.write(completion_script(args.parser))
     return EXIT_OK
 
 
-def script(parser: argparse.ArgumentParser) -> str:
-    """Return the completion script of a parser."""
+def completion_script(parser: argparse.ArgumentParser) -> str:
+    """Return the bash completion script for a parser."""
     commands = subparsers(parser)
     cases = [
-        f'        {name}) words="{" ".join(_words(command))}" ;;'
+        f'        {name}) words="{" ".join(_completion_words(command))}" ;;'
         for name, command in commands.items()
     ]
     return _SCRIPT.format(
@@ -59,7 +59,7 @@
     )
 
 
-def _words(parser: argparse.ArgumentParser) -> list[str]:
+def _completion_words(parser: argparse.ArgumentParser) -> list[str]:
     words = [*choices(parser), *options(parser)]
     for command in subparsers(parser).values():
         words.extend(options(command))
--- a/berylnotch/cmd/commands/drain.py
+++ b/berylnotch/cmd/commands/drain.py
@@ -1,4 +1,4 @@
-"""``berylnotch drain``: keep new work from a target or VM."""
+"""Command ``berylnotch drain``: stop sending new work to a target or VM."""
 
 from __future__ import annotations
 
@@ -24,5 +24,5 @@
     command = SetDrain(
         session.change_id, session.operator, Subject(args.subject), args.name, True
     )
-    done = f"{args.subject} {args.name} gets no new work"
-    return session.finish(session.propose(command), done)
+    success_text = f"{args.subject} {args.name} gets no new work"
+    return session.write_result(session.propose(command), success_text)
--- a/berylnotch/cmd/commands/history.py
+++ b/berylnotch/cmd/commands/history.py
@@ -1,4 +1,4 @@
-"""``berylnotch history``: show the audit trail."""
+"""Command ``berylnotch history``: show the audit trail."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 command."""
 
 _HEADER = ("index", "time", "by", "action", "subject", "base", "revision", "result")
-#: Records in one answer.
+#: Maximum number of records in one reply.
 _PAGE = 1000
 
 
@@ -35,8 +35,10 @@
 
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
-    found = [r for r in _records(args.after, session) if args.by in ("", r.operator)]
-    newest = found[-args.limit :] if args.limit > 0 else []
+    records = [
+        r for r in _fetch_records(args.after, session) if args.by in ("", r.operator)
+    ]
+    newest = records[-args.limit :] if args.limit > 0 else []
     if session.is_json:
         session.write_json(newest)
     else:
@@ -44,14 +46,14 @@
     return EXIT_OK
 
 
-def _records(after: int, session: Session) -> list[AuditRecord]:
-    found: list[AuditRecord] = []
+def _fetch_records(after_index: int, session: Session) -> list[AuditRecord]:
+    records: list[AuditRecord] = []
     while True:
-        page = session.call(AuditRequest(after, _PAGE)).records
-        found.extend(page)
+        page = session.call(AuditRequest(after_index, _PAGE)).records
+        records.extend(page)
         if len(page) < _PAGE:
-            return found
-        after = page[-1].index
+            return records
+        after_index = page[-1].index
 
 
 def _row(record: AuditRecord) -> tuple[object, ...]:
--- a/berylnotch/cmd/commands/keys.py
+++ b/berylnotch/cmd/commands/keys.py
@@ -1,4 +1,4 @@
-"""``berylnotch keys``: give, withdraw and list callers' keys."""
+"""Command ``berylnotch keys``: give, withdraw and list callers' keys."""
 
 from __future__ import annotations
 
@@ -26,50 +26,57 @@
     give.add_argument("organisation", metavar="ORGANISATION")
     withdraw = actions.add_parser("withdraw", help="stop accepting a key")
     withdraw.add_argument("key_id", metavar="KEY-ID")
-    listing = actions.add_parser("list", help="list keys, withdrawn ones included")
-    listing.add_argument("organisation", metavar="ORGANISATION", nargs="?", default="")
+    list_action = actions.add_parser("list", help="list keys, withdrawn ones included")
+    list_action.add_argument(
+        "organisation", metavar="ORGANISATION", nargs="?", default=""
+    )
 
 
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
     if args.action == "give":
-        return _give(args.organisation, session)
+        return _give_key(args.organisation, session)
     if args.action == "withdraw":
         command = WithdrawKey(session.change_id, session.operator, args.key_id)
-        done = f"key {args.key_id} is withdrawn"
-        return session.finish(session.propose(command), done)
-    return _list(args.organisation, session)
+        success_text = f"key {args.key_id} is withdrawn"
+        return session.write_result(session.propose(command), success_text)
+    return _list_keys(args.organisation, session)
 
 
-def _give(organisation: str, session: Session) -> int:
-    key = new_key()
-    digest = digest_key(key.key)
+def _give_key(organisation: str, session: Session) -> int:
+    generated = new_key()
+    digest = digest_key(generated.key)
     command = GiveKey(
-        session.change_id, session.operator, key.key_id, organisation, digest
+        session.change_id, session.operator, generated.key_id, organisation, digest
     )
     try:
         result = session.propose(command)
     except UnconfirmedError as error:
-        # The key would have to be shown to resend it; another one is simpler.
+        # Repeating the change would require showing the key. Withdrawing it and giving
+        # another one is simpler.
         message = (
-            f"no answer came; key {key.key_id} may have been given. Look with "
+            f"no answer came; key {generated.key_id} may have been given. Look with "
             f"`keys list {organisation}`, withdraw it and give another one"
         )
         raise UnconfirmedError(message) from error
     if result.status is not Status.OK:
-        return session.finish(result, "")
+        return session.write_result(result, "")
     if session.is_json:
         session.write_json(
-            {"key_id": key.key_id, "key": key.key, "organisation": organisation}
+            {
+                "key_id": generated.key_id,
+                "key": generated.key,
+                "organisation": organisation,
+            }
         )
     else:
-        session.write(f"key id: {key.key_id}")
-        session.write(f"key:    {key.key}")
+        session.write(f"key id: {generated.key_id}")
+        session.write(f"key:    {generated.key}")
         session.write(f"given to {organisation}; the key is not shown again")
     return EXIT_OK
 
 
-def _list(organisation: str, session: Session) -> int:
+def _list_keys(organisation: str, session: Session) -> int:
     keys = session.call(KeysRequest(organisation)).keys
     if session.is_json:
         session.write_json(keys)
--- a/berylnotch/cmd/commands/members.py
+++ b/berylnotch/cmd/commands/members.py
@@ -1,4 +1,4 @@
-"""``berylnotch members``: list and replace controllers."""
+"""Command ``berylnotch members``: list and replace controllers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 the old one. It says done only when that is committed. The new controller has to
 run already, with an empty data folder; it may have the old one's name."""
 
-#: Seconds that a change of controllers may take.
+#: Timeout, in seconds, of a change of controllers.
 _TIMEOUT_S = 120.0
 
 
@@ -39,8 +39,8 @@
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
     if args.action == "list":
-        lines = session.call(StatusRequest()).controllers
-        members = tuple(line.member for line in lines)
+        controllers = session.call(StatusRequest()).controllers
+        members = tuple(line.member for line in controllers)
     else:
         request = MemberChangeRequest(
             session.change_id,
@@ -50,7 +50,7 @@
             getattr(args, "failure_domain", ""),
             getattr(args, "old", ""),
         )
-        members = session.change(request, _TIMEOUT_S).members.members
+        members = session.request_change(request, _TIMEOUT_S).members.members
     if session.is_json:
         session.write_json(members)
         return EXIT_OK
--- a/berylnotch/cmd/commands/plan.py
+++ b/berylnotch/cmd/commands/plan.py
@@ -1,4 +1,4 @@
-"""``berylnotch plan``: show what an edit would change."""
+"""Command ``berylnotch plan``: show what an edit would change."""
 
 from __future__ import annotations
 
@@ -29,36 +29,36 @@
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
     file = read_text_file(args.file)
-    new = parse(file.whole, file.path)
-    shown = _in_force(args, session)
-    old = parse(shown.text) if shown.text else None
-    lines, found = plan(old, new), find_warnings(new)
-    is_stale = not args.against and file.base_revision not in (-1, shown.revision)
+    new = parse(file.content, file.path)
+    reference = _read_reference(args, session)
+    old = parse(reference.text) if reference.text else None
+    lines, warning_texts = plan(old, new), find_warnings(new)
+    is_stale = not args.against and file.base_revision not in (-1, reference.revision)
     if session.is_json:
         session.write_json(
             {
-                "revision": shown.revision,
+                "revision": reference.revision,
                 "base_revision": file.base_revision,
                 "changes": lines,
-                "warnings": found,
+                "warnings": warning_texts,
             }
         )
     else:
         for line in lines:
             session.write(str(line))
-        for warning in found:
+        for warning in warning_texts:
             session.write(f"warning: {warning}")
         if not lines:
             session.write("nothing changes")
         if is_stale:
             session.write(
                 f"{args.file} was made from revision {file.base_revision}, but "
-                f"{shown.revision} is in force; this plan would undo other changes"
+                f"{reference.revision} is in force; this plan would undo other changes"
             )
     return EXIT_CONFLICT if is_stale else EXIT_OK
 
 
-def _in_force(args: argparse.Namespace, session: Session) -> ShowReply:
+def _read_reference(args: argparse.Namespace, session: Session) -> ShowReply:
     if args.against:
-        return ShowReply(0, read_text_file(args.against).whole)
+        return ShowReply(0, read_text_file(args.against).content)
     return session.call(ShowRequest())
--- a/berylnotch/cmd/commands/rollout.py
+++ b/berylnotch/cmd/commands/rollout.py
@@ -1,4 +1,4 @@
-"""``berylnotch rollout``: bring engines to a weights version."""
+"""Command ``berylnotch rollout``: bring a service's engines to a weights version."""
 
 from __future__ import annotations
 
@@ -26,5 +26,5 @@
     command = StartRollout(
         session.change_id, session.operator, args.service, args.version
     )
-    done = f"the engines of {args.service} are brought to {args.version}"
-    return session.finish(session.propose(command), done)
+    success_text = f"the engines of {args.service} are brought to {args.version}"
+    return session.write_result(session.propose(command), success_text)
--- a/berylnotch/cmd/commands/show.py
+++ b/berylnotch/cmd/commands/show.py
@@ -1,4 +1,4 @@
-"""``berylnotch show``: show the text in force."""
+"""Command ``berylnotch show``: show the operators' text in force."""
 
 from __future__ import annotations
 
--- a/berylnotch/cmd/commands/status.py
+++ b/berylnotch/cmd/commands/status.py
@@ -1,4 +1,4 @@
-"""``berylnotch status``: the fleet at a glance."""
+"""Command ``berylnotch status``: show the state of the fleet."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
         f"revision {status.revision}; {leader} leads term {status.term}; "
         f"log committed to {status.commit}"
     )
-    session.write("\n" + _controllers(status))
-    session.write("\n" + _routers(status))
-    session.write("\n" + _targets(status))
-    session.write("\n" + _organisations(status, args.all))
+    session.write("\n" + _controllers_table(status))
+    session.write("\n" + _routers_table(status))
+    session.write("\n" + _targets_table(status))
+    session.write("\n" + _organisations_table(status, args.all))
     return EXIT_OK
 
 
-def _heard(heard_ms: int) -> str:
-    return "never" if heard_ms < 0 else f"{heard_ms} ms ago"
+def _format_contact_age(contact_age_ms: int) -> str:
+    return "never" if contact_age_ms < 0 else f"{contact_age_ms} ms ago"
 
 
-def _controllers(status: StatusReply) -> str:
+def _controllers_table(status: StatusReply) -> str:
     rows = [
         (
             line.member.name,
@@ -53,7 +53,7 @@
             line.member.failure_domain,
             "leader" if line.is_leader else line.member.role.value,
             line.match,
-            _heard(line.heard_ms),
+            _format_contact_age(line.heard_ms),
         )
         for line in status.controllers
     ]
@@ -61,21 +61,21 @@
     return table(header, rows)
 
 
-def _routers(status: StatusReply) -> str:
+def _routers_table(status: StatusReply) -> str:
     rows = [
         (
             line.vm,
             line.http_address,
             line.failure_domain,
             line.state,
-            _heard(line.heard_ms),
+            _format_contact_age(line.heard_ms),
         )
         for line in status.routers
     ]
     return table(("router", "address", "failure domain", "state", "heard"), rows)
 
 
-def _targets(status: StatusReply) -> str:
+def _targets_table(status: StatusReply) -> str:
     rows = [
         (
             line.name,
@@ -91,7 +91,7 @@
     return table(header, rows)
 
 
-def _organisations(status: StatusReply, show_all: bool) -> str:
+def _organisations_table(status: StatusReply, show_all: bool) -> str:
     busiest = sorted(status.organisations, key=lambda line: -line.used_per_s)
     shown = busiest if show_all else busiest[:20]
     rows = [
@@ -99,6 +99,6 @@
         for line in shown
     ]
     header = ("organisation", "tokens/s", "burst", "share", "left", "used/s")
-    left = len(busiest) - len(shown)
-    more = f"\n({left} more; --all shows them)" if left else ""
-    return table(header, rows) + more
+    hidden_count = len(busiest) - len(shown)
+    footer = f"\n({hidden_count} more; --all shows them)" if hidden_count else ""
+    return table(header, rows) + footer
--- a/berylnotch/cmd/commands/undrain.py
+++ b/berylnotch/cmd/commands/undrain.py
@@ -1,4 +1,4 @@
-"""``berylnotch undrain``: end the drain of a target or VM."""
+"""Command ``berylnotch undrain``: end the drain of a target or VM."""
 
 from __future__ import annotations
 
@@ -23,5 +23,5 @@
     command = SetDrain(
         session.change_id, session.operator, Subject(args.subject), args.name, False
     )
-    done = f"{args.subject} {args.name} gets new work again"
-    return session.finish(session.propose(command), done)
+    success_text = f"{args.subject} {args.name} gets new work again"
+    return session.write_result(session.propose(command), success_text)
--- a/berylnotch/cmd/commands/why.py
+++ b/berylnotch/cmd/commands/why.py
@@ -1,4 +1,4 @@
-"""``berylnotch why``: how the target of a request was chosen."""
+"""Command ``berylnotch why``: show how the target of a request was chosen."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
             unreachable.append(router.name)
             continue
         if reply.lines or reply.outcome:
-            return _write(session, router.name, reply)
+            return _write_reply(session, router.name, reply)
     if unreachable:
         session.write(f"not found; not reached: {', '.join(unreachable)}")
         return EXIT_UNREACHABLE
@@ -44,7 +44,7 @@
     return EXIT_FAILURE
 
 
-def _write(session: Session, router: str, reply: WhyReply) -> int:
+def _write_reply(session: Session, router: str, reply: WhyReply) -> int:
     if session.is_json:
         session.write_json({"router": router, "why": reply})
         return EXIT_OK
--- a/berylnotch/cmd/config.py
+++ b/berylnotch/cmd/config.py
@@ -19,13 +19,13 @@
 
 #: Environment variable that names the settings file.
 SETTINGS_VARIABLE = "BERYLNOTCH_SETTINGS"
-#: Settings file below the home folder.
+#: Default settings file, relative to the home folder.
 DEFAULT_SETTINGS = ".config/berylnotch.ini"
 #: Length of an operator's key, in bytes.
 KEY_BYTES = 32
 
-#: Settings of the tool's file, besides the addresses in ``[controllers]`` and
-#: ``[routers]``.
+#: Settings allowed in the tool's file, in addition to the addresses in
+#: ``[controllers]`` and ``[routers]``.
 TABLE = (
     ProcessSetting(
         "operator", "name", values.name, "a name", "who the audit trail says you are"
@@ -50,7 +50,7 @@
 
 @frozen
 class OperatorSettings:
-    """Who the operator is and where the controllers and routers listen."""
+    """Identity of the operator and addresses of the controllers and routers."""
 
     name: str
     key: bytes
@@ -59,10 +59,10 @@
     routers: tuple[ControllerAddress, ...]
 
 
-def settings_path(given: str, environment: Mapping[str, str] = os.environ) -> str:
-    """Return the settings file: as given, from the environment, or the default."""
-    default = str(Path.home() / DEFAULT_SETTINGS)
-    return given or environment.get(SETTINGS_VARIABLE, "") or default
+def settings_path(flag_value: str, environment: Mapping[str, str] = os.environ) -> str:
+    """Return the settings file from the flag, the environment or the default."""
+    default_path = str(Path.home() / DEFAULT_SETTINGS)
+    return flag_value or environment.get(SETTINGS_VARIABLE, "") or default_path
 
 
 def read_settings(file: str) -> OperatorSettings:
@@ -71,19 +71,19 @@
     Raises
     ------
     ConfigurationError
-        If the file or the key file is wrong.
+        If the file or the key file cannot be read or is invalid.
     """
-    found = read_file(file, TABLE)
-    if not found.controllers:
+    content = read_file(file, TABLE)
+    if not content.controllers:
         message = "section [controllers] is missing; write NAME = IP:port for each"
         raise ConfigurationError(message, file)
-    key_file = Path(file).parent / found.values["key_file"].expanduser()
+    key_file = Path(file).parent / content.values["key_file"].expanduser()
     return OperatorSettings(
-        name=found.values["name"],
+        name=content.values["name"],
         key=_read_key(key_file),
-        timeout_s=found.values["timeout"],
-        controllers=found.controllers,
-        routers=found.routers,
+        timeout_s=content.values["timeout"],
+        controllers=content.controllers,
+        routers=content.routers,
     )
 
 
--- a/berylnotch/cmd/daemon.py
+++ b/berylnotch/cmd/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon ``berylnotchd``."""
+"""Command line of the daemon ``berylnotchd``."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
 EXIT_FAILURE = 1
 EXIT_BAD_INPUT = 2
 
-#: Allocations before a collection, and collections before an older generation's.
+#: Thresholds of the garbage collector: allocations before a collection of the youngest
+#: generation, and collections of each generation before one of the next older.
 _GC_THRESHOLDS = (50_000, 20, 50)
 
-#: Seconds that a thread may compute while another waits for the interpreter.
-#: The event loop of a router lets go of it with each byte that it sends, and
-#: would wait for Python's 5 ms whenever a thread of the pool is busy.
+#: Seconds that a thread may hold the global interpreter lock while another thread waits
+#: for it. A router's event loop releases the lock on each send. With Python's default
+#: of 5 ms, it would wait that long for the lock whenever a pool thread is computing.
 ROUTER_SWITCH_INTERVAL_S = 0.0002
 
 
@@ -76,18 +77,18 @@
 
 
 def run() -> None:
-    """Run the daemon as a program."""
+    """Run the daemon and exit with its exit code."""
     sys.exit(main())
 
 
 def _run_controller(args: argparse.Namespace) -> int:
     settings = read_controller(args.settings)
     set_up_logs(f"controller/{settings.name}", args.log_level)
-    stop = _stop_event()
-    failed = threading.Event()
+    stop = _make_stop_event()
+    has_failed = threading.Event()
 
     def on_failure() -> None:
-        failed.set()
+        has_failed.set()
         stop.set()
 
     controller = Controller(settings, on_failure)
@@ -95,18 +96,18 @@
     print(f"listening {controller.address}", flush=True)
     stop.wait()
     controller.close()
-    return EXIT_FAILURE if failed.is_set() else EXIT_OK
+    return EXIT_FAILURE if has_failed.is_set() else EXIT_OK
 
 
 def _run_router(args: argparse.Namespace) -> int:
     settings = read_router(args.settings)
     set_up_logs(f"router/{settings.name}", args.log_level)
-    stop = _stop_event()
+    stop = _make_stop_event()
     sys.setswitchinterval(ROUTER_SWITCH_INTERVAL_S)
     router = Router(settings)
     router.start()
-    # What lives as long as the process need not be looked at again, and a full
-    # collection must not stop hundreds of streams often.
+    # Objects that live as long as the process are excluded from collections, and full
+    # collections are made rare, because each of them pauses hundreds of streams.
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
@@ -123,8 +124,8 @@
     return EXIT_OK
 
 
-def _stop_event() -> threading.Event:
-    """Return an event that SIGTERM and SIGINT set; a second signal does no more."""
+def _make_stop_event() -> threading.Event:
+    """Return an event that SIGTERM and SIGINT set; further signals have no effect."""
     stop = threading.Event()
 
     def on_signal(number: int, _frame: object) -> None:
--- a/berylnotch/cmd/exits.py
+++ b/berylnotch/cmd/exits.py
@@ -4,18 +4,18 @@
 
 from berylnotch.control.commands import Status
 
-#: The command did what was asked.
+#: The command succeeded.
 EXIT_OK = 0
-#: It failed, or what it asks about does not exist.
+#: The command failed, or the object that it names does not exist.
 EXIT_FAILURE = 1
-#: The command line, a file or the operators' text is wrong.
+#: The command line, a file or the operators' text is invalid.
 EXIT_BAD_INPUT = 2
-#: Somebody else's change was first, or the state forbids it.
+#: Another operator's change came first, or the current state forbids the change.
 EXIT_CONFLICT = 3
-#: No controller that leads could be reached; the outcome may be unknown.
+#: No leader could be reached; the outcome of a change may be unknown.
 EXIT_UNREACHABLE = 4
 
-_OF_STATUS = {
+_EXIT_CODES_BY_STATUS = {
     Status.OK: EXIT_OK,
     Status.NOT_FOUND: EXIT_FAILURE,
     Status.INVALID: EXIT_BAD_INPUT,
@@ -24,6 +24,6 @@
 }
 
 
-def of_status(status: Status) -> int:
-    """Return the exit code for the result of a change."""
-    return _OF_STATUS[status]
+def exit_code_of_status(status: Status) -> int:
+    """Return the exit code for the status of a change."""
+    return _EXIT_CODES_BY_STATUS[status]
--- a/berylnotch/cmd/fleetd.py
+++ b/berylnotch/cmd/fleetd.py
@@ -1,4 +1,4 @@
-"""The daemon of a fleet on the users' platform: ``router`` or ``controller``."""
+"""Command line of ``berylnotch-fleetd``, a router or controller on the platform."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 EXIT_FAILURE = 1
 EXIT_BAD_INPUT = 2
 
-#: Seconds between the end of serving and that of the process, for last messages.
-_LAST_S = 0.15
+#: Seconds between the end of serving and the exit, for sending the last messages.
+_CLOSE_DELAY_S = 0.15
 
 
 def get_parser() -> argparse.ArgumentParser:
@@ -44,7 +44,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run a process of a fleet and return its exit code."""
+    """Run a fleet's router or controller and return its exit code."""
     args = get_parser().parse_args(argv)
     try:
         settings = read_fleet_settings(args.settings)
@@ -54,14 +54,16 @@
     log = open_event_log(f"{args.role}/{settings.name}")
     loop = Loop(args.role, on_error=make_loop_error_handler(log))
     try:
-        start = _start_router if args.role == "router" else _start_controller
-        stop = start(settings, _seeds(args.settings, settings, log), loop, log)
+        start_role = _start_router if args.role == "router" else _start_controller
+        stop = start_role(
+            settings, _make_seed_source(args.settings, settings, log), loop, log
+        )
     except (BerylnotchError, OSError) as error:
         log.error("start_failed", reason=str(error))
         log.flush()
         return EXIT_FAILURE
     _stop_on_signal(loop, stop, log)
-    _note_reloads(log)
+    _log_reload_signals(log)
     loop.call_every(FLUSH_INTERVAL_S, log.flush)
     loop.run()
     log.info("stopped")
@@ -70,11 +72,11 @@
 
 
 def run() -> None:
-    """Run the daemon as a program."""
+    """Run the daemon and exit with its exit code."""
     sys.exit(main())
 
 
-def _seeds(path: str, settings: FleetSettings, log: EventLog) -> SeedSource:
+def _make_seed_source(path: str, settings: FleetSettings, log: EventLog) -> SeedSource:
     return SeedSource(
         path,
         settings,
@@ -91,11 +93,11 @@
     router = FleetRouter(settings, seeds, loop, log)
     router.start()
 
-    def end() -> None:
+    def on_drained() -> None:
         router.close()
-        loop.call_later(_LAST_S, loop.close)
+        loop.call_later(_CLOSE_DELAY_S, loop.close)
 
-    return lambda: router.drain(end)
+    return lambda: router.drain(on_drained)
 
 
 def _start_controller(
@@ -108,7 +110,7 @@
 
     def stop() -> None:
         controller.close()
-        loop.call_later(2 * _LAST_S, loop.close)
+        loop.call_later(2 * _CLOSE_DELAY_S, loop.close)
 
     return stop
 
@@ -127,8 +129,8 @@
     signal.signal(signal.SIGINT, on_signal)
 
 
-def _note_reloads(log: EventLog) -> None:
-    # The seeds are read from the file each time that they are needed.
+def _log_reload_signals(log: EventLog) -> None:
+    # SIGHUP needs no other action, since `SeedSource` reads the file on each use.
     signal.signal(signal.SIGHUP, lambda _number, _frame: log.info("reload_asked"))
 
 
--- a/berylnotch/cmd/parsers.py
+++ b/berylnotch/cmd/parsers.py
@@ -1,4 +1,4 @@
-"""Access to the commands inside a parser."""
+"""Inspection of the commands, options and choices of an argparse parser."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def subparsers(parser: argparse.ArgumentParser) -> dict[str, argparse.ArgumentParser]:
-    """Return the parsers of a parser's commands by name."""
+    """Return the parsers of a parser's subcommands by name."""
     for action in parser._actions:
         if isinstance(action, argparse._SubParsersAction):
             return dict(action.choices)
@@ -15,14 +15,14 @@
 
 def options(parser: argparse.ArgumentParser) -> list[str]:
     """Return a parser's long options."""
-    found = [word for action in parser._actions for word in action.option_strings]
-    return [word for word in found if word.startswith("--")]
+    values = [option for action in parser._actions for option in action.option_strings]
+    return [option for option in values if option.startswith("--")]
 
 
 def choices(parser: argparse.ArgumentParser) -> list[str]:
-    """Return what a parser's positional arguments may be."""
-    found: list[str] = []
+    """Return the allowed values of a parser's positional arguments."""
+    values: list[str] = []
     for action in parser._actions:
         if action.choices and not action.option_strings:
-            found.extend(action.choices)
-    return found
+            values.extend(action.choices)
+    return values
--- a/berylnotch/cmd/session.py
+++ b/berylnotch/cmd/session.py
@@ -1,4 +1,4 @@
-"""One run of the operators' tool: its client, its output and its change id."""
+"""State of one run of the operators' tool: client, output and change id."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import attrs
 
 from berylnotch.cmd.config import OperatorSettings
-from berylnotch.cmd.exits import of_status
+from berylnotch.cmd.exits import exit_code_of_status
 from berylnotch.control.commands import Result, Status
 from berylnotch.control.protocol import ProposeRequest
 from berylnotch.errors import TransportError
@@ -23,52 +23,52 @@
 CHANGE_ID_BYTES = 12
 
 
-class Calls(Protocol):
-    """What the tool needs of `berylnotch.transport.client.Client`."""
+class ToolClient(Protocol):
+    """Methods of `berylnotch.transport.client.Client` that the tool uses."""
 
     def start(self) -> None:
         """Start the client."""
 
     def close(self) -> None:
-        """End the client."""
+        """Close the client."""
 
     def call(self, message: object, timeout_s: float | None = None) -> Any:
-        """Ask the leader."""
+        """Send a request to the leader and return the reply."""
 
     def call_at(self, address: str, message: object, timeout_s: float = 5.0) -> Any:
-        """Ask one process."""
+        """Send a request to the process at ``address`` and return the reply."""
 
 
-#: Makes a client from the controllers' addresses, an identity, its key and a
-#: time limit in seconds.
-MakeClient = Callable[[tuple[str, ...], str, bytes, float], Calls]
+#: Creates a client from the controllers' addresses, an identity, its key and a timeout
+#: in seconds.
+ClientFactory = Callable[[tuple[str, ...], str, bytes, float], ToolClient]
 
 
 class UnconfirmedError(TransportError):
-    """The answer to a change was lost, so that it may have taken effect."""
+    """No reply to a change arrived, so that the change may have taken effect."""
 
 
 class Session:
-    """State of one run.
+    """State of one run of the tool.
 
     Parameters
     ----------
     read_settings : callable
-        Reads the settings; called only by commands that need them.
+        Reads the settings; called only if the command needs them.
     make_client : callable
-        Makes the client.
+        Creates the client.
     out : file
-        Where results are written.
+        Text stream to which results are written.
     is_json : bool
         Whether results are written as JSON.
     change_id : str, default=""
-        Change id to resend; a random one if empty.
+        Change id of an earlier run that is repeated; if empty, a random one is used.
     """
 
     def __init__(
         self,
         read_settings: Callable[[], OperatorSettings],
-        make_client: MakeClient,
+        make_client: ClientFactory,
         out: TextIO,
         is_json: bool,
         change_id: str = "",
@@ -79,11 +79,11 @@
         self._is_json = is_json
         self._change_id = change_id or secrets.token_hex(CHANGE_ID_BYTES)
         self._settings: OperatorSettings | None = None
-        self._client: Calls | None = None
+        self._client: ToolClient | None = None
 
     @property
     def settings(self) -> OperatorSettings:
-        """Settings, read when they are first needed."""
+        """Settings, read on first use."""
         if self._settings is None:
             self._settings = self._read_settings()
         return self._settings
@@ -104,8 +104,8 @@
         return self._change_id
 
     @property
-    def client(self) -> Calls:
-        """Client, started when it is first needed."""
+    def client(self) -> ToolClient:
+        """Client, started on first use."""
         if self._client is None:
             settings = self.settings
             addresses = tuple(item.address for item in settings.controllers)
@@ -117,75 +117,95 @@
         return self._client
 
     def call(self, message: object, timeout_s: float | None = None) -> Any:
-        """Ask the leader."""
+        """Send a request to the leader and return the reply."""
         return self.client.call(message, timeout_s)
 
     def propose(self, command: object) -> Result:
-        """Ask the leader to commit a command.
+        """Ask the leader to commit a command and return the result.
 
         Raises
         ------
         UnconfirmedError
-            If no answer came, so that the command may have taken effect.
+            If no reply arrived, so that the command may have taken effect.
         """
-        return self.change(ProposeRequest(encode(command))).result
+        return self.request_change(ProposeRequest(encode(command))).result
 
-    def change(self, message: object, timeout_s: float | None = None) -> Any:
-        """Ask the leader for a change that holds this run's change id.
+    def request_change(self, message: object, timeout_s: float | None = None) -> Any:
+        """Send the leader a request for a change and return the reply.
+
+        The message must contain this run's change id, so that a repeat with the same id
+        takes effect only once.
 
         Raises
         ------
         UnconfirmedError
-            If no answer came, so that the change may have taken effect.
+            If no reply arrived, so that the change may have taken effect.
         """
         try:
             return self.call(message, timeout_s)
         except RefusedError:
             raise
         except TransportError as error:
-            hint = (
+            message = (
                 f"{error}; the change may have taken effect. Repeat the same command "
                 f"with --change-id {self._change_id} to learn it; it counts once"
             )
-            raise UnconfirmedError(hint) from error
-
-    def finish(self, result: Result, done: str) -> int:
-        """Write the result of a change and return the exit code."""
+            raise UnconfirmedError(message) from error
+
+    def write_result(self, result: Result, success_text: str) -> int:
+        """Write the result of a change and return the exit code for it.
+
+        Parameters
+        ----------
+        result : Result
+            Result from the leader.
+        success_text : str
+            Line that is written if the change succeeded.
+
+        Returns
+        -------
+        int
+            Exit code.
+        """
         if self._is_json:
-            self.write_json({**plain(result), "change_id": self._change_id})
+            self.write_json({**to_json_value(result), "change_id": self._change_id})
         elif result.status is Status.OK:
             detail = f" ({result.message})" if result.message else ""
-            self.write(f"{done}{detail}")
+            self.write(f"{success_text}{detail}")
         else:
             self.write(f"{result.status.value}: {result.message}")
-        return of_status(result.status)
+        return exit_code_of_status(result.status)
 
     def write(self, text: str) -> None:
-        """Write one line or several."""
+        """Write one or more lines."""
         print(text, file=self._out)
 
     def write_json(self, value: object) -> None:
-        """Write a value as JSON, with sorted names."""
-        print(json.dumps(plain(value), indent=2, sort_keys=True), file=self._out)
+        """Write a value as indented JSON with sorted keys."""
+        print(
+            json.dumps(to_json_value(value), indent=2, sort_keys=True), file=self._out
+        )
 
     def close(self) -> None:
-        """End the client."""
+        """Close the client, if it was started."""
         if self._client is not None:
             self._client.close()
             self._client = None
 
 
-def plain(value: Any) -> Any:
-    """Turn messages into what JSON can hold; bytes become hexadecimal."""
+def to_json_value(value: Any) -> Any:
+    """Convert messages into types that JSON supports; bytes become hexadecimal."""
     if attrs.has(type(value)):
         fields = attrs.fields(type(value))
-        return {field.name: plain(getattr(value, field.name)) for field in fields}
+        return {
+            field.name: to_json_value(getattr(value, field.name)) for field in fields
+        }
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, bytes):
         return value.hex()
     if isinstance(value, dict):
-        return {name: plain(item) for name, item in value.items()}
+        return {name: to_json_value(item) for name, item in value.items()}
     if isinstance(value, tuple | list):
-        return [plain(item) for item in value]
+        return [to_json_value(item) for item in value]
     return value
--- a/berylnotch/cmd/tool.py
+++ b/berylnotch/cmd/tool.py
@@ -1,4 +1,4 @@
-"""The operators' tool ``berylnotch``."""
+"""Command line of the operators' tool ``berylnotch``."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     EXIT_UNREACHABLE,
 )
 from berylnotch.cmd.parsers import subparsers
-from berylnotch.cmd.session import MakeClient, Session
+from berylnotch.cmd.session import ClientFactory, Session
 from berylnotch.errors import BerylnotchError, ConfigurationError, TransportError
 from berylnotch.transport.client import Client
 from berylnotch.transport.errors import RefusedError
 from berylnotch.util.logs import set_up_logs
 
-#: Commands by name, in the order of the help.
+#: Modules of the commands by name, in the order of the help.
 COMMANDS: dict[str, ModuleType] = {
     "check": check,
     "plan": plan,
@@ -91,12 +91,12 @@
 
 def get_parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    raw = argparse.RawDescriptionHelpFormatter
+    raw_formatter = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(
         prog="berylnotch",
         description="Operate a berylnotch fleet.",
         epilog=_EPILOG,
-        formatter_class=raw,
+        formatter_class=raw_formatter,
     )
     parser.add_argument("--version", action="version", version=__version__)
     parser.add_argument(
@@ -113,21 +113,22 @@
     )
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     for name, module in COMMANDS.items():
-        command = commands.add_parser(
+        command_parser = commands.add_parser(
             name,
             help=module.HELP,
             description=module.DESCRIPTION,
-            formatter_class=raw,
+            formatter_class=raw_formatter,
         )
-        module.add_arguments(command)
-        for part in (command, *subparsers(command).values()):
-            _add_common(part)
+        module.add_arguments(command_parser)
+        for option_parser in (command_parser, *subparsers(command_parser).values()):
+            _add_common_options(option_parser)
     parser.set_defaults(parser=parser)
     return parser
 
 
-def _add_common(parser: argparse.ArgumentParser) -> None:
-    # Without a default, so that the same option before the command counts.
+def _add_common_options(parser: argparse.ArgumentParser) -> None:
+    # The default is suppressed; otherwise it would override the same option given
+    # before the command.
     parser.add_argument(
         "--json", action="store_true", default=argparse.SUPPRESS, help="write JSON"
     )
@@ -138,7 +139,7 @@
 
 def main(
     argv: Sequence[str] | None = None,
-    make_client: MakeClient = Client,
+    make_client: ClientFactory = Client,
     out: TextIO | None = None,
     err: TextIO | None = None,
 ) -> int:
@@ -161,12 +162,12 @@
 
 
 def run() -> None:
-    """Run the tool as a program."""
+    """Run the tool and exit with its exit code."""
     set_up_logs("berylnotch", "ERROR")
     try:
         code = main()
     except BrokenPipeError:
-        # The reader of a pipe, such as head, has seen enough.
+        # The reader of the output pipe, such as head, closed it early.
         sys.stderr.close()
         code = EXIT_OK
     except KeyboardInterrupt:
--- a/berylnotch/cmd/why_request.py
+++ b/berylnotch/cmd/why_request.py
@@ -1,4 +1,4 @@
-"""Tells from a fleet's logs what became of a request, and what happened around it."""
+"""Command line of ``berylnotch-why``, which traces a request in a fleet's logs."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 EXIT_NOT_FOUND = 1
 EXIT_BAD_INPUT = 2
 
-#: Seconds before and after a request in which other events count as near.
-NEAR_S = 5.0
+#: Seconds before and after a request's lines within which other events are shown.
+CONTEXT_S = 5.0
 
-#: Events that change what a process believes, whoever writes them.
-_BELIEFS = frozenset(
+#: Events, of any process, that change its view of the fleet or its ability to serve.
+_CONTEXT_EVENTS = frozenset(
     (
         "leader_found",
         "leader_lost",
@@ -47,18 +47,18 @@
     )
 )
 
-#: Fields that name a target.
+#: Log fields that hold the name of a target.
 _TARGET_FIELDS = ("target",)
 
-#: Fields that differ between processes with the same belief.
-_OWN_FIELDS = frozenset(("time", "process", "age_s", "took_s", "list_age_s"))
+#: Fields that differ between the lines of several processes about the same event.
+_PROCESS_FIELDS = frozenset(("time", "process", "age_s", "took_s", "list_age_s"))
 
 _FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 
 
 @frozen
 class LogLine:
-    """A line of a log, its time in Unix seconds and its fields."""
+    """A parsed log line; ``at`` is its Unix time in seconds."""
 
     at: float
     text: str
@@ -71,7 +71,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line of a log, or None if it is none."""
+    """Parse a log line; return None if the text has no valid time field."""
     fields = {name: value.strip('"') for name, value in _FIELD.findall(text)}
     try:
         at = datetime.fromisoformat(fields["time"]).timestamp()
@@ -80,63 +80,73 @@
     return LogLine(at, text.rstrip("\n"), fields)
 
 
-def lines_of(request_id: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return the lines of a request, oldest first."""
-    found = [line for line in lines if line.fields.get("id") == request_id]
-    return sorted(found, key=lambda line: line.at)
+def find_request_lines(request_id: str, lines: Iterable[LogLine]) -> list[LogLine]:
+    """Return the lines with a request's id, oldest first."""
+    request_lines = [line for line in lines if line.fields.get("id") == request_id]
+    return sorted(request_lines, key=lambda line: line.at)
 
 
-def lines_near(own: list[LogLine], lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return what was believed around a request, oldest first.
+def find_context_lines(
+    request_lines: list[LogLine], lines: Iterable[LogLine]
+) -> list[LogLine]:
+    """Return the lines with context events around a request's lines, oldest first.
 
-    Lines about a target count if the request met it.
+    Lines about a target are included only if the request's lines name that target.
     """
-    first, last = own[0].at - NEAR_S, own[-1].at + NEAR_S
+    first_at, last_at = (
+        request_lines[0].at - CONTEXT_S,
+        request_lines[-1].at + CONTEXT_S,
+    )
     targets = {
-        line.fields[f] for line in own for f in _TARGET_FIELDS if f in line.fields
+        line.fields[f]
+        for line in request_lines
+        for f in _TARGET_FIELDS
+        if f in line.fields
     }
-    near = [
+    context_lines = [
         line
         for line in lines
-        if first <= line.at <= last
-        and line.event in _BELIEFS
+        if first_at <= line.at <= last_at
+        and line.event in _CONTEXT_EVENTS
         and line.fields.get("target", "") in targets | {""}
     ]
-    return sorted(near, key=lambda line: line.at)
+    return sorted(context_lines, key=lambda line: line.at)
 
 
-def grouped(lines: Iterable[LogLine]) -> list[str]:
-    """Return texts of lines; what many processes came to believe stands once.
+def merge_similar_lines(lines: Iterable[LogLine]) -> list[str]:
+    """Return the texts of lines, with equal events of several processes merged.
 
-    A changed configuration is a line of each router. Only the first one of the same
-    event and fields is kept, with the number of others and the time of the last.
+    A changed configuration, for example, is logged by each router. Of the lines with
+    the same event and fields only the first is kept, with the number of the others and
+    the time until the last of them.
     """
-    groups: dict[tuple[tuple[str, str], ...], list[LogLine]] = {}
+    lines_by_fields: dict[tuple[tuple[str, str], ...], list[LogLine]] = {}
     for line in lines:
         key = tuple(
             (name, value)
             for name, value in line.fields.items()
-            if name not in _OWN_FIELDS
+            if name not in _PROCESS_FIELDS
         )
-        groups.setdefault(key, []).append(line)
-    texts = []
-    for first, *others in groups.values():
-        text = first.text
-        if others:
-            after_s = others[-1].at - first.at
-            text += f" (and {len(others)} more within {after_s:.3f} s)"
-        texts.append(text)
-    return texts
-
-
-def summary(own: list[LogLine]) -> str:
-    """Return what became of a request, in one sentence."""
-    end = next(
-        (line for line in own if line.event in ("finished", "turned_away")), None
+        lines_by_fields.setdefault(key, []).append(line)
+    merged_texts = []
+    for first_line, *similar in lines_by_fields.values():
+        text = first_line.text
+        if similar:
+            after_s = similar[-1].at - first_line.at
+            text += f" (and {len(similar)} more within {after_s:.3f} s)"
+        merged_texts.append(text)
+    return merged_texts
+
+
+def summarize_request(request_lines: list[LogLine]) -> str:
+    """Summarize the outcome of a request in one sentence."""
+    end_line = next(
+        (line for line in request_lines if line.event in ("finished", "turned_away")),
+        None,
     )
-    if end is None:
+    if end_line is None:
         return "not finished in these logs"
-    fields = end.fields
+    fields = end_line.fields
     outcome = fields.get("outcome", "turned away")
     reason = fields.get("reason") or "none"
     sends = fields.get("sends", "0")
@@ -158,28 +168,28 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Print the lines of a request and what happened around it."""
+    """Print a request's lines and the context events around them."""
     args = get_parser().parse_args(argv)
     try:
-        lines = list(_read(args.logs))
+        lines = list(_read_lines(args.logs))
     except OSError as error:
         print(f"berylnotch-why: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
-    own = lines_of(args.id, lines)
-    if not own:
+    request_lines = find_request_lines(args.id, lines)
+    if not request_lines:
         print(f"no line of {args.id}; it may have been sampled out, or never came")
         return EXIT_NOT_FOUND
-    print(f"request {args.id}: {summary(own)}")
-    for line in own:
+    print(f"request {args.id}: {summarize_request(request_lines)}")
+    for line in request_lines:
         print(f"  {line.text}")
     print("around it:")
-    for text in grouped(lines_near(own, lines)):
+    for text in merge_similar_lines(find_context_lines(request_lines, lines)):
         print(f"  {text}")
     return EXIT_OK
 
 
 def run() -> None:
-    """Run the tool as a program; a reader that stops early is no error."""
+    """Run the tool and exit; a reader that closes the pipe early is not an error."""
     try:
         code = main()
         sys.stdout.flush()
@@ -189,7 +199,7 @@
     sys.exit(code)
 
 
-def _read(paths: Iterable[Path]) -> Iterable[LogLine]:
+def _read_lines(paths: Iterable[Path]) -> Iterable[LogLine]:
     for path in paths:
         with open(path, encoding="utf-8", errors="replace") as file:
             for text in file:
--- a/tests/test_cmd/fakes.py
+++ b/tests/test_cmd/fakes.py
@@ -1,4 +1,4 @@
-"""A leader without processes: answers the tool from a control state."""
+"""Fake client that answers the tool from a control state, without processes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class FakeCluster:
-    """Stands in for `Client` and for what it is connected to."""
+    """Replaces `Client` and the processes to which it connects."""
 
     router_address = "127.0.0.1:8001"
 
@@ -52,33 +52,33 @@
         self.machine = Machine()
         self.members = Members(tuple(member(n) for n in (1, 2, 3)))
         self.groups: dict[str, Members] = {}
-        self.lose_answers = 0
-        self.arguments: tuple[Any, ...] = ()
-        self.open = 0
+        self.answers_to_lose = 0
+        self.client_arguments: tuple[Any, ...] = ()
+        self.open_clients = 0
 
-    def make(self, *arguments: Any) -> FakeCluster:
-        self.arguments = arguments
+    def make_client(self, *client_arguments: Any) -> FakeCluster:
+        self.client_arguments = client_arguments
         return self
 
     def start(self) -> None:
-        self.open += 1
+        self.open_clients += 1
 
     def close(self) -> None:
-        self.open -= 1
+        self.open_clients -= 1
 
     def call(self, message: object, timeout_s: float | None = None) -> Any:
         answer = self._answer(message)
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
             raise TransportError("no answer came")
         return answer
 
     def call_at(self, address: str, message: object, timeout_s: float = 5.0) -> Any:
         if isinstance(message, WhyRequest):
             return self._why(address, message)
-        found = next(m for m in self.members.members if m.address == address)
+        contacted = next(m for m in self.members.members if m.address == address)
         if isinstance(message, JoinRequest):
-            return JoinReply(found, address in self.groups)
+            return JoinReply(contacted, address in self.groups)
         assert isinstance(message, BootstrapRequest)
         return BootstrapReply(self.groups.setdefault(address, message.members))
 
@@ -99,8 +99,10 @@
             case StatusRequest():
                 return self._status()
             case MemberChangeRequest():
-                kept = [m for m in self.members.members if m.name != message.replace]
-                return MemberChangeReply(Members((*kept, member(4))))
+                remaining = [
+                    m for m in self.members.members if m.name != message.replace
+                ]
+                return MemberChangeReply(Members((*remaining, member(4))))
         raise AssertionError(message)
 
     def _status(self) -> StatusReply:
--- a/tests/test_cmd/test_real.py
+++ b/tests/test_cmd/test_real.py
@@ -1,4 +1,4 @@
-"""The tool against real processes."""
+"""The operators' tool against real controller and router processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def tool(fleet, tmp_path):
-    """Run the tool as operator ravi; return code, output and errors."""
+    """Run the tool as operator ravi; return exit code, output and errors."""
     key = identity_key(fleet.secret, "operator/ravi")
     (tmp_path / "ravi.key").write_text(key.hex())
     settings = tmp_path / "operator.ini"
@@ -72,13 +72,13 @@
     assert tool("apply", str(path), "--base", "0")[0] == 3
     code, out, err = tool("keys", "give", "importer-desk", "--json")
     assert code == 0, err
-    given = json.loads(out)
-    caller = CallerClient(router.address, given["key"])
+    issued = json.loads(out)
+    caller = CallerClient(router.address, issued["key"])
     wait_for(lambda: caller.send("GET", "/v1/models").status == 200, "key in force")
     code, out, err = tool("address")
     assert code == 0, err
     assert out.splitlines()[0] == router.address
-    assert tool("keys", "withdraw", given["key_id"])[0] == 0
+    assert tool("keys", "withdraw", issued["key_id"])[0] == 0
     wait_for(lambda: caller.send("GET", "/v1/models").status == 401, "withdrawal")
     spare = fleet.start_controller("c4", DOMAINS[3])
     fleet.children["c3"].kill()
--- a/tests/test_cmd/test_tool.py
+++ b/tests/test_cmd/test_tool.py
@@ -8,7 +8,7 @@
 import pytest
 from attrs import frozen
 
-from berylnotch.cmd.commands.completion import script
+from berylnotch.cmd.commands.completion import completion_script
 from berylnotch.cmd.tool import COMMANDS, get_parser, main
 from berylnotch.control.commands import (
     ApplyText,
@@ -39,7 +39,7 @@
 
 
 @frozen
-class Run:
+class CommandResult:
     code: int
     out: str
     err: str
@@ -56,18 +56,18 @@
 
 @pytest.fixture
 def tool(tmp_path, cluster, monkeypatch):
-    """Run the tool in a folder with settings; return code and output."""
+    """Run the tool in a folder with settings; return exit code, output and errors."""
     (tmp_path / "asha.key").write_text("ab" * 32 + "\n")
     settings = tmp_path / "settings.ini"
     settings.write_text(SETTINGS)
     monkeypatch.setenv("BERYLNOTCH_SETTINGS", str(settings))
     monkeypatch.chdir(tmp_path)
 
-    def run(*argv: str) -> Run:
+    def run(*argv: str) -> CommandResult:
         out, err = io.StringIO(), io.StringIO()
-        code = main(argv, cluster.make, out, err)
-        assert cluster.open == 0
-        return Run(code, out.getvalue(), err.getvalue())
+        code = main(argv, cluster.make_client, out, err)
+        assert cluster.open_clients == 0
+        return CommandResult(code, out.getvalue(), err.getvalue())
 
     return run
 
@@ -78,7 +78,7 @@
     return cluster.machine
 
 
-def test_first_text_then_an_edit(tool, tmp_path, cluster):
+def test_first_text_and_an_edit_are_applied(tool, tmp_path, cluster):
     path = tmp_path / "fleet.ini"
     path.write_text(TEXT)
     assert tool("show").code == 1
@@ -96,10 +96,10 @@
     assert (done.code, done.out) == (0, "revision 2 is in force\n")
     assert path.read_text().startswith("; berylnotch revision 2\n[fleet]")
     assert "nothing changes" in tool("plan", "fleet.ini").out
-    assert cluster.arguments[1:] == ("operator/asha", b"\xab" * 32, 3.0)
+    assert cluster.client_arguments[1:] == ("operator/asha", b"\xab" * 32, 3.0)
 
 
-def test_somebody_else_was_first(tool, tmp_path, fleet):
+def test_apply_on_an_outdated_revision_is_refused(tool, tmp_path, fleet):
     path = tmp_path / "fleet.ini"
     tool("show", "--output", "fleet.ini")
     fleet.run(ApplyText("c-1", "ravi", 1, TEXT.replace("= 4", "= 6")))
@@ -111,16 +111,18 @@
     assert "share = 6" in fleet.state.text
 
 
-def test_lost_answer_is_repeated_as_one_change(tool, tmp_path, fleet, cluster):
+def test_repeat_after_a_lost_answer_takes_effect_once(tool, tmp_path, fleet, cluster):
     (tmp_path / "fleet.ini").write_text(TEXT.replace("share = 4", "share = 5"))
-    cluster.lose_answers = 1
-    lost = tool("apply", "fleet.ini", "--base", "1")
-    assert lost.code == 4
-    change_id = re.search(r"--change-id (\w+)", lost.err)[1]
-    again = tool("--json", "--change-id", change_id, "apply", "fleet.ini", "--base=1")
-    assert again.code == 0
-    assert again.json["revision"] == fleet.state.revision == 2
-    assert again.json["index"] == 2
+    cluster.answers_to_lose = 1
+    unanswered = tool("apply", "fleet.ini", "--base", "1")
+    assert unanswered.code == 4
+    change_id = re.search(r"--change-id (\w+)", unanswered.err)[1]
+    repeated = tool(
+        "--json", "--change-id", change_id, "apply", "fleet.ini", "--base=1"
+    )
+    assert repeated.code == 0
+    assert repeated.json["revision"] == fleet.state.revision == 2
+    assert repeated.json["index"] == 2
 
 
 def test_wrong_text_names_file_and_line(tool, tmp_path, cluster):
@@ -136,31 +138,31 @@
 
 
 def test_keys(tool, fleet, cluster):
-    given = tool("keys", "give", "clerks", "--json").json
-    held = fleet.state.view.find_key(digest_key(given["key"]))
-    assert held.key_id == given["key_id"]
+    issued = tool("keys", "give", "clerks", "--json").json
+    accepted_key = fleet.state.view.find_key(digest_key(issued["key"]))
+    assert accepted_key.key_id == issued["key_id"]
     assert tool("keys", "give", "nobody").code == 1
-    assert tool("keys", "withdraw", given["key_id"]).code == 0
+    assert tool("keys", "withdraw", issued["key_id"]).code == 0
     assert tool("keys", "withdraw", "other").code == 1
     listed = tool("keys", "list", "clerks")
-    assert given["key_id"] in listed.out
-    assert given["key"] not in listed.out + tool("history", "--json").out
-    cluster.lose_answers = 1
-    lost = tool("keys", "give", "clerks")
-    assert (lost.code, lost.out) == (4, "")
-    unconfirmed = re.search(r"key (\w+) may have been given", lost.err)[1]
+    assert issued["key_id"] in listed.out
+    assert issued["key"] not in listed.out + tool("history", "--json").out
+    cluster.answers_to_lose = 1
+    unanswered = tool("keys", "give", "clerks")
+    assert (unanswered.code, unanswered.out) == (4, "")
+    unconfirmed = re.search(r"key (\w+) may have been given", unanswered.err)[1]
     assert unconfirmed in [line.key_id for line in fleet.state.keys("clerks")]
 
 
 def test_claims(tool, fleet):
     fleet.run(claim())
-    lost = SetLifeState(Subject.VM, "entry-1", "i1", LifeState.LOST, "heartbeat")
-    fleet.run(lost)
+    vm_lost = SetLifeState(Subject.VM, "entry-1", "i1", LifeState.LOST, "heartbeat")
+    fleet.run(vm_lost)
     assert "state:    unknown" in tool("claims", "show", "clerks", "order-7").out
-    settle = ("claims", "settle", "clerks", "order-7")
-    settled = tool(*settle, "not-run", "--note", "no row")
+    settle_command = ("claims", "settle", "clerks", "order-7")
+    settled = tool(*settle_command, "not-run", "--note", "no row")
     assert settled.code == 0
-    assert tool(*settle, "done").code == 3
+    assert tool(*settle_command, "done").code == 3
     shown = tool("claims", "show", "clerks", "order-7", "--json").json
     assert (shown["state"], shown["note"]) == ("not-run", "asha: no row")
     assert tool("claims", "show", "clerks", "order-8").code == 1
@@ -245,7 +247,7 @@
 
 
 def test_address_asks_the_entry_vms_of_the_text(tool, fleet, monkeypatch):
-    """A new leader may not have heard a router yet."""
+    """A new leader may have no heartbeat from a router that the text names."""
     asked = []
 
     def ask(url):
@@ -274,7 +276,7 @@
 
 def test_completion(tmp_path):
     path = tmp_path / "completion"
-    path.write_text(script(get_parser()))
+    path.write_text(completion_script(get_parser()))
     ask = (
         f"source {path}; COMP_WORDS=(berylnotch keys gi); COMP_CWORD=2; "
         "_berylnotch; echo ${COMPREPLY[@]}"
--- a/tests/test_cmd/test_why_request.py
+++ b/tests/test_cmd/test_why_request.py
@@ -1,24 +1,24 @@
-"""The tool that reads logs."""
+"""Merging of log lines, and early end of the reader, in ``berylnotch-why``."""
 
 import subprocess
 import sys
 
-from berylnotch.cmd.why_request import grouped, parse_line
+from berylnotch.cmd.why_request import merge_similar_lines, parse_line
 
 LINE = "time=2026-08-10T04:36:{second:06.3f}Z level=INFO process=router/{name} event="
 
 
-def _line(second, name, rest):
-    return parse_line(LINE.format(second=second, name=name) + rest)
+def make_line(second, name, event_text):
+    return parse_line(LINE.format(second=second, name=name) + event_text)
 
 
-def test_what_many_processes_believe_stands_once():
+def test_equal_events_of_many_processes_are_merged():
     lines = [
-        _line(1 + n / 100, f"r{n}", "weights version=2 age_s=0.1") for n in range(9)
+        make_line(1 + n / 100, f"r{n}", "weights version=2 age_s=0.1") for n in range(9)
     ]
-    lines.append(_line(2, "r1", "weights version=3 age_s=0.1"))
-    lines.append(_line(3, "r1", "leader_lost at=10.0.0.1:1 reason=silent"))
-    texts = grouped(lines)
+    lines.append(make_line(2, "r1", "weights version=3 age_s=0.1"))
+    lines.append(make_line(3, "r1", "leader_lost at=10.0.0.1:1 reason=silent"))
+    texts = merge_similar_lines(lines)
     assert len(texts) == 3
     assert "process=router/r0" in texts[0]
     assert texts[0].endswith("(and 8 more within 0.080 s)")
