--- a/berylnotch/cmd/daemon.py
+++ b/berylnotch/cmd/daemon.py
@@ -18,7 +18,7 @@
 from berylnotch.errors import BerylnotchError, ConfigurationError
 from berylnotch.settings import read_controller, read_router, read_secret
 from berylnotch.transport.identity import OPERATOR_PREFIX, identity_key
-from berylnotch.util.logs import set_up_logs
+from berylnotch.util.logs import configure_logging
 
 #: Exit codes.
 EXIT_OK = 0
@@ -83,7 +83,7 @@
 
 def _run_controller(args: argparse.Namespace) -> int:
     settings = read_controller(args.settings)
-    set_up_logs(f"controller/{settings.name}", args.log_level)
+    configure_logging(f"controller/{settings.name}", args.log_level)
     stop = _make_stop_event()
     has_failed = threading.Event()
 
@@ -101,7 +101,7 @@
 
 def _run_router(args: argparse.Namespace) -> int:
     settings = read_router(args.settings)
-    set_up_logs(f"router/{settings.name}", args.log_level)
+    configure_logging(f"router/{settings.name}", args.log_level)
     stop = _make_stop_event()
     sys.setswitchinterval(ROUTER_SWITCH_INTERVAL_S)
     router = Router(settings)
--- a/berylnotch/cmd/session.py
+++ b/berylnotch/cmd/session.py
@@ -146,11 +146,11 @@
         except RefusedError:
             raise
         except TransportError as error:
-            message = (
+            error_text = (
                 f"{error}; the change may have taken effect. Repeat the same command "
                 f"with --change-id {self._change_id} to learn it; it counts once"
             )
-            raise UnconfirmedError(message) from error
+            raise UnconfirmedError(error_text) from error
 
     def write_result(self, result: Result, success_text: str) -> int:
         """Write the result of a change and return the exit code for it.
--- a/berylnotch/cmd/tool.py
+++ b/berylnotch/cmd/tool.py
@@ -39,7 +39,7 @@
 from berylnotch.errors import BerylnotchError, ConfigurationError, TransportError
 from berylnotch.transport.client import Client
 from berylnotch.transport.errors import RefusedError
-from berylnotch.util.logs import set_up_logs
+from berylnotch.util.logs import configure_logging
 
 #: Modules of the commands by name, in the order of the help.
 COMMANDS: dict[str, ModuleType] = {
@@ -163,7 +163,7 @@
 
 def run() -> None:
     """Run the tool and exit with its exit code."""
-    set_up_logs("berylnotch", "ERROR")
+    configure_logging("berylnotch", "ERROR")
     try:
         code = main()
     except BrokenPipeError:
--- a/berylnotch/settings/base.py
+++ b/berylnotch/settings/base.py
@@ -102,7 +102,7 @@
     """
     sections, found = read_sections(read(file))
     problems = list(found)
-    reader = _Reader(table, problems)
+    reader = _SettingsReader(table, problems)
     for section in sections:
         reader.read_section(section)
     reader.fill_defaults()
@@ -112,7 +112,7 @@
     return reader.build_file()
 
 
-class _Reader:
+class _SettingsReader:
     """Collects the values and the problems of one settings file."""
 
     def __init__(
--- a/berylnotch/util/logs.py
+++ b/berylnotch/util/logs.py
@@ -12,7 +12,7 @@
 )
 
 
-def set_up_logs(process: str, level: str = "INFO") -> None:
+def configure_logging(process: str, level: str = "INFO") -> None:
     """Write events of level ``level`` and above to standard error.
 
     Parameters
--- a/tests/test_fleet/test_text.py
+++ b/tests/test_fleet/test_text.py
@@ -39,11 +39,11 @@
 )
 
 
-def line_of(data: bytes, part: bytes) -> int:
-    return data.count(b"\n", 0, data.index(part)) + 1
+def find_line(data: bytes, fragment: bytes) -> int:
+    return data.count(b"\n", 0, data.index(fragment)) + 1
 
 
-def problems(text: str) -> list[tuple[int, str]]:
+def parse_problems(text: str) -> list[tuple[int, str]]:
     with pytest.raises(FleetTextError) as caught:
         parse(text)
     return [(problem.line, problem.message) for problem in caught.value.problems]
@@ -75,7 +75,7 @@
     with pytest.raises(FleetTextError) as caught:
         parse(read(str(path)), str(path))
     first = str(caught.value).splitlines()[0]
-    line = line_of(data, edit[0])
+    line = find_line(data, edit[0])
     # The edit of the cycle case adds a line, and the problem is on the added line.
     line += edit[1].count(b"\n")
     assert first.startswith(f"{path}:{line}: ")
@@ -87,7 +87,7 @@
     text = SENGUPTA.read_text()[:-cut]
     last = text.count("\n") + 1
     message = "the last line has no newline; the file may be truncated"
-    assert (last, message) in problems(text)
+    assert (last, message) in parse_problems(text)
 
 
 def test_missing_file(tmp_path):
@@ -98,7 +98,7 @@
 def test_all_problems_at_once():
     text = SENGUPTA.read_text()
     text = text.replace("tokens/s", "tokens").replace("kind = plain", "kind = plane")
-    found = problems(text)
+    found = parse_problems(text)
     assert len(found) == 6
     assert [line for line, _ in found] == sorted(line for line, _ in found)
 
@@ -127,7 +127,7 @@
 address = 10.0.0.1:01
 failure-domain = a
 """
-    assert problems(text) == [
+    assert parse_problems(text) == [
         (4, "a language service needs 'models'"),
         (4, "a language service needs 'weights'"),
         (8, "'models' is only for services of kind language"),
@@ -149,7 +149,7 @@
     ],
 )
 def test_wrong_headers(line, message):
-    found = problems(f"[fleet]\nregion = r\nfailure-domains = a\n{line}\n")
+    found = parse_problems(f"[fleet]\nregion = r\nfailure-domains = a\n{line}\n")
     assert found[0][0] == 4
     assert message in found[0][1]
 
