--- a/berylnotch/daemon/fleet/weights.py
+++ b/berylnotch/daemon/fleet/weights.py
@@ -94,7 +94,7 @@
     announced_weights : AnnouncedWeights
         Named versions and the times at which they were named.
     order_lease : OrderLease
-        Right to send orders, held by one controller at a time.
+        Lease for sending orders, held by one controller at a time.
     is_active : callable
         Returns whether this process holds the leader lease at the current time.
     in_flight_counts : callable
--- a/berylnotch/group/state.py
+++ b/berylnotch/group/state.py
@@ -1,4 +1,4 @@
-"""Replicated state of a fleet: configuration, weights, holder of the order right."""
+"""Replicated state of a fleet: configuration, weights, holder of the order lease."""
 
 from __future__ import annotations
 
--- a/berylnotch/util/coalesced_action.py
+++ b/berylnotch/util/coalesced_action.py
@@ -1,4 +1,4 @@
-"""One action for many calls: the first of them starts a pause, at whose end it runs."""
+"""Action that runs once for all calls within a pause after the first of them."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     Parameters
     ----------
     loop : Loop
-        Loop in which everything runs.
+        Event loop that runs the action.
     action : callable
-        What is done, once for all calls of a pause.
+        Called once for all calls of a pause.
     pause_s : callable
         Returns the seconds from the first call to the action.
     """
@@ -33,7 +33,7 @@
         self._is_closed = False
 
     def schedule(self) -> None:
-        """Let the action run at the end of the pause."""
+        """Schedule the action for the end of the pause, unless it is scheduled."""
         if self._timer is None and not self._is_closed:
             self._timer = self._loop.call_later(self._pause_s(), self._run)
 
@@ -44,7 +44,7 @@
             self._timer = None
 
     def close(self) -> None:
-        """Run the action no more."""
+        """Cancel the scheduled run, and ignore further calls."""
         self._is_closed = True
         self.cancel()
 
--- a/tests/test_daemon/test_fleet_weights.py
+++ b/tests/test_daemon/test_fleet_weights.py
@@ -36,8 +36,8 @@
         self.now = until
 
 
-class HeldOrderRight:
-    """Fake of the right to send orders that is always held."""
+class HeldOrderLease:
+    """Fake of an order lease that is always held."""
 
     is_held = True
 
@@ -89,7 +89,7 @@
         clock,
         inventory,
         announced_weights,
-        HeldOrderRight(),
+        HeldOrderLease(),
         lambda: True,
         dict,
         lambda target_id: long_requests.get(target_id, 0),
