--- a/berylnotch/standins/__init__.py
+++ b/berylnotch/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems outside, for the demo and tests."""
+"""Simulated engines, services and platform for the demo, tests and benchmarks."""
--- a/berylnotch/standins/caller.py
+++ b/berylnotch/standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the fleet: asks for an address, then sends requests there."""
+"""HTTP client that sends the requests of a caller to a router."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from attrs import field, frozen
 
-#: Seconds for one answer.
-_TIMEOUT_S = 60.0
+#: Time-out of each socket operation, in seconds.
+_SOCKET_TIMEOUT_S = 60.0
 
 
 @frozen
 class Answer:
-    """A whole answer; ``headers`` go by name in lower case."""
+    """Complete response; the names in ``headers`` are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -23,7 +23,7 @@
 
     @property
     def run(self) -> str:
-        """Whether a target ran the request: ran, not-run or unknown."""
+        """Execution outcome from the router: ``ran``, ``not-run`` or ``unknown``."""
         return self.headers.get("x-berylnotch-run", "")
 
     def json(self) -> Any:
@@ -31,7 +31,7 @@
         return json.loads(self.body)
 
     def events(self) -> list[str]:
-        """Return the data of a stream's events, the end marker included."""
+        """Return the data of the stream's events, including the end marker."""
         blocks = self.body.decode().split("\n\n")
         lines = (line for block in blocks for line in block.split("\n"))
         return [line[6:] for line in lines if line.startswith("data: ")]
@@ -39,14 +39,14 @@
 
 @frozen
 class CallerClient:
-    """Connects to one entry VM for each request.
+    """Opens a connection to a router for each request.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of a router.
     key : str
-        The caller's key; empty for none.
+        Key of the caller; if empty, requests carry no key.
     """
 
     address: str
@@ -59,11 +59,11 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> Answer:
-        """Send a request and read the whole answer."""
+        """Send a request and read the complete response."""
         response = self.open(method, path, body, headers)
-        content = response.read()
-        fields = {name.lower(): value for name, value in response.getheaders()}
-        return Answer(response.status, fields, content)
+        response_body = response.read()
+        header_fields = {name.lower(): value for name, value in response.getheaders()}
+        return Answer(response.status, header_fields, response_body)
 
     def open(
         self,
@@ -72,24 +72,26 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> http.client.HTTPResponse:
-        """Send a request and return the answer once its head has come."""
-        connection = http.client.HTTPConnection(self.address, timeout=_TIMEOUT_S)
-        fields = {"Content-Type": "application/json"}
+        """Send a request and return the response after its header section."""
+        connection = http.client.HTTPConnection(self.address, timeout=_SOCKET_TIMEOUT_S)
+        header_fields = {"Content-Type": "application/json"}
         if self.key:
-            fields["Authorization"] = f"Bearer {self.key}"
-        connection.request(method, path, body or None, fields | dict(headers or {}))
+            header_fields["Authorization"] = f"Bearer {self.key}"
+        connection.request(
+            method, path, body or None, header_fields | dict(headers or {})
+        )
         return connection.getresponse()
 
     def post(
         self, path: str, content: Any, headers: Mapping[str, str] | None = None
     ) -> Answer:
-        """Send JSON by POST."""
+        """Send a POST request with a JSON body."""
         return self.send("POST", path, json.dumps(content).encode(), headers)
 
     def chat(
         self, model: str, prompt: str, max_tokens: int = 16, stream: bool = True
     ) -> Answer:
-        """Ask a language service."""
+        """Send a chat request to a language service."""
         return self.post(
             "/v1/chat/completions", chat(model, prompt, max_tokens, stream)
         )
--- a/berylnotch/standins/demo.py
+++ b/berylnotch/standins/demo.py
@@ -1,4 +1,4 @@
-"""The main job of the product on loopback, step by step."""
+"""Demonstration of a request through a complete fleet on loopback."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
 from berylnotch.transport.identity import OPERATOR_PREFIX, identity_key
 
-_KEY = re.compile(r"bn-[0-9a-f]{12}-[A-Za-z0-9_-]+")
+_KEY_PATTERN = re.compile(r"bn-[0-9a-f]{12}-[A-Za-z0-9_-]+")
 _PROMPT = "Importer contract, clause by clause. " * 400
 
 
@@ -34,49 +34,53 @@
 def main(argv: Sequence[str] | None = None) -> int:
     """Run the demonstration and return its exit code."""
     get_parser().parse_args(argv)
-    folder = Path(tempfile.mkdtemp(prefix="berylnotch-demo-"))
-    fleet = LocalFleet(folder)
+    directory = Path(tempfile.mkdtemp(prefix="berylnotch-demo-"))
+    fleet = LocalFleet(directory)
     try:
-        _run(fleet)
+        _run_demo(fleet)
     except (ChildError, ConditionError, BerylnotchError, OSError) as error:
-        print(f"demo failed: {error}; logs are in {folder}", file=sys.stderr)
+        print(f"demo failed: {error}; logs are in {directory}", file=sys.stderr)
         return 1
     finally:
         fleet.close()
-    shutil.rmtree(folder)
+    shutil.rmtree(directory)
     print("done: everything stopped, nothing left behind")
     return 0
 
 
-def _run(fleet: LocalFleet) -> None:
-    small = _start(fleet)
-    text_file = fleet.folder / "fleet.ini"
-    text_file.write_text(small_text(small), encoding="utf-8")
-    operator = _Operator(fleet)
-    operator.run("check", str(text_file))
-    operator.run("apply", str(text_file), "--base", "0")
-    given = json.loads(operator.run("keys", "give", "importer-desk", "--json"))
-    address = _ask_address(small)
-    caller = CallerClient(address, given["key"])
+def _run_demo(fleet: LocalFleet) -> None:
+    small_fleet = _start_fleet(fleet)
+    configuration_file = fleet.folder / "fleet.ini"
+    configuration_file.write_text(small_text(small_fleet), encoding="utf-8")
+    operator_tool = _OperatorTool(fleet)
+    operator_tool.run("check", str(configuration_file))
+    operator_tool.run("apply", str(configuration_file), "--base", "0")
+    issued_key = json.loads(
+        operator_tool.run("keys", "give", "importer-desk", "--json")
+    )
+    address = _request_entry_address(small_fleet)
+    caller = CallerClient(address, issued_key["key"])
     wait_for(lambda: caller.send("GET", "/v1/models").status == 200, "key in force")
-    _use(caller)
-    operator.run("keys", "withdraw", given["key_id"])
+    _send_sample_requests(caller)
+    operator_tool.run("keys", "withdraw", issued_key["key_id"])
     wait_for(lambda: caller.send("GET", "/stock").status == 401, "key withdrawn")
     refused = caller.send("GET", "/stock")
-    _say(f"caller:   GET /stock -> {refused.status}, run={refused.run}")
-    operator.run("status")
-    _stop(fleet)
+    _print_line(f"caller:   GET /stock -> {refused.status}, run={refused.run}")
+    operator_tool.run("status")
+    _stop_fleet(fleet)
 
 
-class _Operator:
-    """Runs the operators' tool and shows its commands and what they print."""
+class _OperatorTool:
+    """Runs the operators' tool and prints its commands and their output."""
 
     def __init__(self, fleet: LocalFleet) -> None:
         self._settings = fleet.folder / "operator.ini"
         key = identity_key(fleet.secret, OPERATOR_PREFIX + OPERATOR)
         key_file = fleet.folder / "operator.key"
         key_file.write_text(key.hex(), encoding="utf-8")
-        controllers = "".join(f"{n} = {a}\n" for n, a in fleet.controllers.items())
+        controllers = "".join(
+            f"{name} = {address}\n" for name, address in fleet.controllers.items()
+        )
         self._settings.write_text(
             f"[operator]\nname = {OPERATOR}\nkey-file = {key_file}\n"
             f"[controllers]\n{controllers}",
@@ -85,23 +89,26 @@
 
     def run(self, *arguments: str) -> str:
         """Run one command and return its output."""
-        shown = " ".join(Path(a).name if "/" in a else a for a in arguments)
-        _say(f"operator: berylnotch {shown}")
+        command_line = " ".join(
+            Path(argument).name if "/" in argument else argument
+            for argument in arguments
+        )
+        _print_line(f"operator: berylnotch {command_line}")
         out = io.StringIO()
         code = tool.main(["--settings", str(self._settings), *arguments], out=out)
         text = out.getvalue()
         for line in text.splitlines():
-            _say(f"            {_KEY.sub('KEY', line)}")
+            _print_line(f"            {_KEY_PATTERN.sub('KEY', line)}")
         if code:
-            raise ConditionError(f"berylnotch {shown} ended with {code}")
+            raise ConditionError(f"berylnotch {command_line} ended with {code}")
         return text
 
 
-def _start(fleet: LocalFleet) -> SmallFleet:
-    _say("start three controllers and form their group")
+def _start_fleet(fleet: LocalFleet) -> SmallFleet:
+    _print_line("start three controllers and form their group")
     fleet.start_controllers(("c1", "c2", "c3"), DOMAINS[:3])
-    _say(f"          {fleet.leader()} leads")
-    _say("start stand-ins: two engines, one order desk; and two routers")
+    _print_line(f"          {fleet.leader()} leads")
+    _print_line("start stand-ins: two engines, one order desk; and two routers")
     engines = tuple(
         (name, fleet.start_engine(name).address) for name in ("sake-1-a", "sake-1-b")
     )
@@ -113,43 +120,49 @@
     return SmallFleet(routers, engines, plain)
 
 
-def _ask_address(small: SmallFleet) -> str:
-    anywhere = CallerClient(small.routers[0][1])
+def _request_entry_address(small_fleet: SmallFleet) -> str:
+    client = CallerClient(small_fleet.routers[0][1])
     path = "/berylnotch/address?organisation=importer-desk"
-    wait_for(lambda: anywhere.send("GET", path).status == 200, "address answer")
-    answer = anywhere.send("GET", path).json()
-    _say(f"caller:   which entry VM? {answer['addresses']}, keep {answer['keep_s']} s")
+    wait_for(lambda: client.send("GET", path).status == 200, "address answer")
+    answer = client.send("GET", path).json()
+    _print_line(
+        f"caller:   which entry VM? {answer['addresses']}, keep {answer['keep_s']} s"
+    )
     return answer["addresses"][0]
 
 
-def _use(caller: CallerClient) -> None:
+def _send_sample_requests(caller: CallerClient) -> None:
     streamed = caller.chat("sake-1", _PROMPT)
     events = streamed.events()
-    _say(
+    _print_line(
         f"caller:   streamed chat -> {streamed.status}, {len(events) - 1} events and "
         f"the end marker {events[-1]}, run={streamed.run}"
     )
     stock = caller.send("GET", "/stock")
-    _say(f"caller:   GET /stock -> {stock.status}, {stock.json()}")
+    _print_line(f"caller:   GET /stock -> {stock.status}, {stock.json()}")
     headers = {"Idempotency-Key": "booking-1"}
-    booked = caller.post("/orders", {"order": "B-17"}, headers)
-    _say(f"caller:   POST /orders -> {booked.status}, {booked.json()}")
-    again = caller.post("/orders", {"order": "B-17"}, headers)
-    replayed = again.headers.get("idempotent-replayed", "false")
-    _say(f"caller:   the same again -> {again.status}, replayed={replayed}, ran once")
+    first_booking = caller.post("/orders", {"order": "B-17"}, headers)
+    _print_line(
+        f"caller:   POST /orders -> {first_booking.status}, {first_booking.json()}"
+    )
+    repeated = caller.post("/orders", {"order": "B-17"}, headers)
+    replayed = repeated.headers.get("idempotent-replayed", "false")
+    _print_line(
+        f"caller:   the same again -> {repeated.status}, replayed={replayed}, ran once"
+    )
 
 
-def _stop(fleet: LocalFleet) -> None:
-    _say("stop: SIGTERM to every process, routers first")
+def _stop_fleet(fleet: LocalFleet) -> None:
+    _print_line("stop: SIGTERM to every process, routers first")
     names = sorted(fleet.children, key=lambda name: not name.startswith("entry"))
     for name in names:
         code = fleet.children[name].stop()
-        _say(f"          {name} ended with code {code}")
+        _print_line(f"          {name} ended with code {code}")
         if code:
             raise ChildError(f"{name} ended with code {code}")
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     print(text, flush=True)
 
 
--- a/berylnotch/standins/engine.py
+++ b/berylnotch/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: `python -m berylnotch.standins.engine`."""
+"""Simulated model engine: `python -m berylnotch.standins.engine`."""
 
 from __future__ import annotations
 
@@ -13,52 +13,52 @@
 from attrs import frozen
 
 from berylnotch.standins.cache import PrefixCache
-from berylnotch.standins.faults import BadFaultsError, FaultSwitch, parse_faults
+from berylnotch.standins.faults import BadFaultsError, FaultInjector, parse_faults
 from berylnotch.standins.generation import BadBodyError, parse_generation
-from berylnotch.standins.httpd import Connection, Loop, Program, Request, serve
-from berylnotch.standins.runs import Job, Runs, RunSettings
+from berylnotch.standins.httpd import Connection, Loop, Request, Server, serve
+from berylnotch.standins.runs import Job, RunQueue, RunSettings
 
-_KEPT_REQUESTS = 1000
-_EVENTS_PER_ANSWER = 1000
+_MAX_RECORDED_REQUESTS = 1000
+_MAX_EVENTS_PER_RESPONSE = 1000
 _ADMIN_PREFIX = "/standin/"
 
 
 @frozen
 class EngineSettings:
-    """What the engine is and how it behaves.
+    """Identity and behaviour of a simulated engine.
 
     Attributes
     ----------
     name, model, weights : str
-        Engine's name, model it serves and weights version at the start.
+        Name of the engine, model that it serves, and initial weights version.
     credential : str
-        Bearer token that requests must carry; empty accepts all.
-    tokens : int
-        Answer length when the request names none.
-    cache_pieces : int
-        Pieces that the prefix cache keeps.
+        Bearer token that requests must carry; if empty, no token is needed.
+    default_tokens : int
+        Length of a response whose request sets no limit, in tokens.
+    cache_blocks : int
+        Capacity of the prefix cache, in blocks.
     load_ms : int
-        Time that new weights take.
+        Time for loading weights, in milliseconds.
     check_fence : bool
-        Whether orders with an old fencing number are refused.
+        Whether orders with an outdated fencing token are rejected.
     run : RunSettings
-        Pace and slots.
+        Token timing and number of slots.
     """
 
     name: str = "E1"
     model: str = "sake-1"
     weights: str = "v1"
     credential: str = ""
-    tokens: int = 16
-    cache_pieces: int = 4096
+    default_tokens: int = 16
+    cache_blocks: int = 4096
     load_ms: int = 2000
     check_fence: bool = True
     run: RunSettings = RunSettings()
 
 
 @frozen
-class SeenRequest:
-    """What the engine saw of one request."""
+class RecordedRequest:
+    """Request as the stand-in received it."""
 
     path: str
     headers: dict[str, str]
@@ -66,80 +66,82 @@
 
 
 class Engine:
-    """One engine; all of it runs on the loop's thread."""
+    """Simulated engine; all methods run on the thread of the event loop."""
 
     def __init__(self, settings: EngineSettings) -> None:
-        self.loop = Loop(self._handle)
+        self.loop = Loop(self._handle_request)
         self._port = 0
         self._settings = settings
-        self._faults = FaultSwitch()
-        self._seen: deque[SeenRequest] = deque(maxlen=_KEPT_REQUESTS)
+        self._faults = FaultInjector()
+        self._recorded_requests: deque[RecordedRequest] = deque(
+            maxlen=_MAX_RECORDED_REQUESTS
+        )
         self._weights = settings.weights
         self._fence = 0
-        self._loading = False
-        self._leaving = False
-        self._orders = 0
+        self._is_loading = False
+        self._is_leaving = False
+        self._order_count = 0
         self._routes: dict[tuple[str, str], Callable[[Connection, Request], None]] = {
             ("POST", "/v1/chat/completions"): self._generate,
             ("POST", "/v1/completions"): self._generate,
-            ("GET", "/v1/models"): self._models,
-            ("GET", "/standin/load"): self._load,
-            ("GET", "/standin/seen"): self._show_seen,
-            ("GET", "/standin/cache-events"): self._cache_events,
-            ("POST", "/standin/orders"): self._order,
+            ("GET", "/v1/models"): self._list_models,
+            ("GET", "/standin/load"): self._report_load,
+            ("GET", "/standin/seen"): self._list_recorded_requests,
+            ("GET", "/standin/cache-events"): self._list_cache_events,
+            ("POST", "/standin/orders"): self._execute_order,
             ("POST", "/standin/faults"): self._set_faults,
-            ("POST", "/standin/leave"): self._leave,
+            ("POST", "/standin/leave"): self._set_leaving,
         }
-        self._boot()
+        self._start_incarnation()
 
     def set_port(self, port: int) -> None:
-        """Remember the port, to listen on it again after a crash."""
+        """Set the port that the engine listens on again after a simulated crash."""
         self._port = port
 
-    def _boot(self) -> None:
+    def _start_incarnation(self) -> None:
         self._incarnation = secrets.token_hex(4)
-        self._cache = PrefixCache(self._settings.cache_pieces)
-        self._runs = Runs(self._settings.run, self.loop)
+        self._cache = PrefixCache(self._settings.cache_blocks)
+        self._run_queue = RunQueue(self._settings.run, self.loop)
 
-    def _handle(self, connection: Connection, request: Request) -> None:
+    def _handle_request(self, connection: Connection, request: Request) -> None:
         route = self._routes.get((request.method, request.path))
         if route is None:
-            self._error(connection, 404, "no such path")
+            self._respond_error(connection, 404, "no such path")
             return
         if not request.path.startswith(_ADMIN_PREFIX):
-            seen = SeenRequest(
+            recorded = RecordedRequest(
                 request.path, dict(request.headers), request.body.decode("utf-8")
             )
-            self._seen.append(seen)
+            self._recorded_requests.append(recorded)
         expected = self._settings.credential
-        given = request.headers.get("authorization", "")
-        if expected and given != f"Bearer {expected}":
-            self._error(connection, 401, "wrong credential", {"x-not-run": "1"})
+        presented = request.headers.get("authorization", "")
+        if expected and presented != f"Bearer {expected}":
+            self._respond_error(connection, 401, "wrong credential", {"x-not-run": "1"})
             return
         route(connection, request)
 
     def _generate(self, connection: Connection, request: Request) -> None:
-        faults = self._faults.strike()
+        faults = self._faults.next_request_faults()
         if faults.crash_marker and faults.crash_marker.encode() in request.body:
             self._crash(faults.restart_ms)
             return
-        headers = self._answer_headers(request, faults.wrong_request_id)
-        if faults.refuse or self._loading:
+        headers = self._response_headers(request, faults.wrong_request_id)
+        if faults.refuse or self._is_loading:
             refusal = {**headers, "x-not-run": "1", "retry-after": "1"}
-            self._error(connection, 503, "not run", refusal)
+            self._respond_error(connection, 503, "not run", refusal)
             return
         if faults.error_status:
-            self._error(connection, faults.error_status, "fault", headers)
+            self._respond_error(connection, faults.error_status, "fault", headers)
             return
         try:
             generation = parse_generation(
-                request.path, request.body, self._weights, self._settings.tokens
+                request.path, request.body, self._weights, self._settings.default_tokens
             )
         except BadBodyError as error:
-            self._error(connection, 400, str(error), headers)
+            self._respond_error(connection, 400, str(error), headers)
             return
         if generation.model != self._settings.model:
-            self._error(connection, 404, "no such model", headers)
+            self._respond_error(connection, 404, "no such model", headers)
             return
         scope = request.headers.get("x-cache-scope", "")
         weights, cache = self._weights, self._cache
@@ -150,97 +152,106 @@
             faults=faults,
             priority=int(request.headers.get("x-priority", "0")),
             after_event=int(request.headers.get("x-resume-after", "0")),
-            admit=lambda: cache.admit(scope, weights, generation.prompt),
+            cache_prompt=lambda: cache.add_prompt(scope, weights, generation.prompt),
         )
-        self._runs.submit(job)
+        self._run_queue.submit(job)
 
-    def _answer_headers(self, request: Request, wrong_id: bool) -> dict[str, str]:
+    def _response_headers(self, request: Request, is_wrong_id: bool) -> dict[str, str]:
         headers = {
             "x-incarnation": self._incarnation,
             "x-weights": self._weights,
         }
         request_id = request.headers.get("x-request-id", "")
         if request_id:
-            headers["x-request-id"] = "other" if wrong_id else request_id
+            headers["x-request-id"] = "other" if is_wrong_id else request_id
         return headers
 
-    def _crash(self, restart_ms: int) -> None:
+    def _crash(self, restart_delay_ms: int) -> None:
         self.loop.close_listener()
         for connection in list(self.loop.connections):
             connection.abort()
-        self._boot()
-        self.loop.call_later(restart_ms / 1000, lambda: self.loop.listen(self._port))
+        self._start_incarnation()
+        self.loop.call_later(
+            restart_delay_ms / 1000, lambda: self.loop.listen(self._port)
+        )
 
-    def _models(self, connection: Connection, request: Request) -> None:
+    def _list_models(self, connection: Connection, request: Request) -> None:
         model = {
             "id": self._settings.model,
             "object": "model",
             "created": 0,
             "owned_by": self._settings.name,
         }
-        headers = self._answer_headers(request, False)
-        self._answer(connection, {"object": "list", "data": [model]}, headers)
+        headers = self._response_headers(request, False)
+        self._respond(connection, {"object": "list", "data": [model]}, headers)
 
-    def _load(self, connection: Connection, _request: Request) -> None:
+    def _report_load(self, connection: Connection, _request: Request) -> None:
         report = {
             "name": self._settings.name,
             "incarnation": self._incarnation,
             "weights": self._weights,
-            "loading": self._loading,
-            "leaving": self._leaving,
-            "waiting": self._runs.waiting,
-            "running": self._runs.running,
+            "loading": self._is_loading,
+            "leaving": self._is_leaving,
+            "waiting": self._run_queue.waiting_count,
+            "running": self._run_queue.running_count,
             "slots": self._settings.run.slots,
-            "queue_wait_s": self._runs.queue_wait_s(self._settings.tokens),
+            "queue_wait_s": self._run_queue.queue_wait_s(self._settings.default_tokens),
             "fence": self._fence,
-            "struck": self._faults.struck,
+            "struck": self._faults.affected_requests,
         }
-        self._answer(connection, report)
+        self._respond(connection, report)
 
-    def _show_seen(self, connection: Connection, _request: Request) -> None:
-        self._answer(connection, [attrs.asdict(seen) for seen in self._seen])
+    def _list_recorded_requests(
+        self, connection: Connection, _request: Request
+    ) -> None:
+        self._respond(
+            connection, [attrs.asdict(recorded) for recorded in self._recorded_requests]
+        )
 
-    def _cache_events(self, connection: Connection, request: Request) -> None:
+    def _list_cache_events(self, connection: Connection, request: Request) -> None:
         after = int(request.query.get("after", "0"))
-        records = self._cache.records_after(after, _EVENTS_PER_ANSWER)
-        nth = self._faults.standing.drop_cache_events
-        if nth:
-            records = [r for r in records if r.sequence % nth]
-        answer = {
+        events = self._cache.events_after(after, _MAX_EVENTS_PER_RESPONSE)
+        drop_interval = self._faults.current.drop_cache_events
+        if drop_interval:
+            events = [event for event in events if event.sequence % drop_interval]
+        response = {
             "incarnation": self._incarnation,
             "weights": self._weights,
             "last": self._cache.last_sequence,
-            "events": [attrs.asdict(record) for record in records],
+            "events": [attrs.asdict(event) for event in events],
         }
-        self._answer(connection, answer)
+        self._respond(connection, response)
 
-    def _order(self, connection: Connection, request: Request) -> None:
+    def _execute_order(self, connection: Connection, request: Request) -> None:
         try:
             order = json.loads(request.body)
             fence, version = int(order["fence"]), str(order["version"])
         except (ValueError, KeyError, TypeError) as error:
-            self._error(connection, 400, f"bad order: {error!r}")
+            self._respond_error(connection, 400, f"bad order: {error!r}")
             return
         if self._settings.check_fence and fence < self._fence:
-            self._error(connection, 409, f"old fencing number, have {self._fence}")
+            self._respond_error(
+                connection, 409, f"old fencing number, have {self._fence}"
+            )
             return
-        if not self._faults.standing.ignore_orders:
+        if not self._faults.current.ignore_orders:
             self._fence = max(self._fence, fence)
             self._start_load(version)
-        self._answer(connection, {"fence": self._fence, "version": version})
+        self._respond(connection, {"fence": self._fence, "version": version})
 
     def _start_load(self, version: str) -> None:
-        self._orders += 1
-        self._loading = True
-        order = self._orders
+        self._order_count += 1
+        self._is_loading = True
+        order_number = self._order_count
         self.loop.call_later(
-            self._settings.load_ms / 1000, lambda: self._finish_load(order, version)
+            self._settings.load_ms / 1000,
+            lambda: self._finish_load(order_number, version),
         )
 
-    def _finish_load(self, order: int, version: str) -> None:
-        if order != self._orders:
+    def _finish_load(self, order_number: int, version: str) -> None:
+        if order_number != self._order_count:
             return
-        self._loading = False
+        self._is_loading = False
         self._weights = version
         self._cache.clear()
 
@@ -248,15 +259,15 @@
         try:
             self._faults.set(parse_faults(request.body))
         except BadFaultsError as error:
-            self._error(connection, 400, str(error))
+            self._respond_error(connection, 400, str(error))
             return
-        self._answer(connection, {})
+        self._respond(connection, {})
 
-    def _leave(self, connection: Connection, request: Request) -> None:
-        self._leaving = request.query.get("leaving", "1") == "1"
-        self._answer(connection, {"leaving": self._leaving})
+    def _set_leaving(self, connection: Connection, request: Request) -> None:
+        self._is_leaving = request.query.get("leaving", "1") == "1"
+        self._respond(connection, {"leaving": self._is_leaving})
 
-    def _answer(
+    def _respond(
         self,
         connection: Connection,
         body: object,
@@ -264,7 +275,7 @@
     ) -> None:
         connection.respond(200, json.dumps(body).encode(), headers)
 
-    def _error(
+    def _respond_error(
         self,
         connection: Connection,
         status: int,
@@ -276,7 +287,7 @@
 
 
 def get_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m berylnotch.standins.engine",
         description="Stand-in for a model engine, on loopback.",
@@ -301,9 +312,9 @@
     """Serve until SIGTERM."""
     args = get_parser().parse_args(argv)
     run = RunSettings(
-        interval_ms=args.interval_ms,
-        first_ms=args.first_ms,
-        piece_ms=args.piece_ms,
+        token_interval_ms=args.interval_ms,
+        first_token_ms=args.first_ms,
+        uncached_block_ms=args.piece_ms,
         slots=args.slots,
     )
     settings = EngineSettings(
@@ -311,14 +322,14 @@
         model=args.model,
         weights=args.weights,
         credential=args.credential,
-        tokens=args.tokens,
-        cache_pieces=args.cache_pieces,
+        default_tokens=args.tokens,
+        cache_blocks=args.cache_pieces,
         load_ms=args.load_ms,
         check_fence=not args.ignore_fence,
         run=run,
     )
     engine = Engine(settings)
-    return serve(Program(engine.loop, args.port, engine.set_port))
+    return serve(Server(engine.loop, args.port, engine.set_port))
 
 
 if __name__ == "__main__":
--- a/berylnotch/standins/faults.py
+++ b/berylnotch/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test switches on in a stand-in."""
+"""Fault injection for the stand-ins."""
 
 from __future__ import annotations
 
@@ -9,43 +9,46 @@
 
 
 class BadFaultsError(Exception):
-    """The text doesn't name known faults."""
+    """The request body is not a JSON object of known faults."""
 
 
 @define
 class Faults:
-    """Faults in force; zero, false or empty is off.
+    """Faults to inject; zero, false or an empty string turns a fault off.
 
     Attributes
     ----------
     die_after_events, close_after_events : int
-        Reset, or end cleanly without the end marker, after this many events.
+        Number of events after which the connection is reset, or the stream ends
+        cleanly without the end marker.
     empty : bool
-        Answer 200 with nothing in it.
+        Respond with status 200 and an empty body.
     late_ms : int
-        Delay before an answer begins, in milliseconds.
+        Delay before the response starts, in milliseconds.
     refuse : bool
-        Answer 503 and say that the request was not run.
+        Respond with status 503 and the header for a request that was not run.
     error_status : int
-        Answer with this status.
+        Respond with this HTTP status.
     hang : bool
-        Take the request and never answer.
+        Accept the request and never respond.
     close_before_answer : bool
-        Run the request, then close the connection without an answer.
+        Close the connection without a response. A plain service runs the request
+        first.
     wrong_request_id : bool
-        Echo another request's id.
+        Return a request id that differs from that of the request.
     skip_event, repeat_event : int
-        Leave out, or send twice, the event with this number.
+        Number of the event that is omitted, or sent twice.
     crash_marker : str
-        Lose the whole process's work when a prompt holds this text.
+        Text in a request body that triggers a simulated crash: all connections are
+        reset, and cache and queue are lost.
     restart_ms : int
-        Time until the process serves again after a crash.
+        Time from a crash until the engine listens again, in milliseconds.
     drop_cache_events : int
-        Lose each n-th cache event.
+        Omit every cache event whose number is a multiple of this one.
     ignore_orders : bool
-        Answer orders and do nothing.
+        Acknowledge orders without executing them.
     times : int
-        Number of requests that the faults strike; 0 is no limit.
+        Number of requests that the faults affect; 0 means no limit.
     """
 
     die_after_events: int = 0
@@ -67,42 +70,51 @@
 
 
 def parse_faults(body: bytes) -> Faults:
-    """Read the JSON object that switches faults; raises `BadFaultsError`."""
+    """Parse the JSON object that sets the faults.
+
+    Raises
+    ------
+    BadFaultsError
+        If the body is not a JSON object of known faults.
+    """
     try:
         return Faults(**json.loads(body or b"{}"))
     except (ValueError, TypeError) as error:
         raise BadFaultsError(str(error)) from error
 
 
-class FaultSwitch:
-    """Holds the faults in force and counts the requests they strike."""
+class FaultInjector:
+    """Holds the active faults and counts the requests that they affect."""
 
     def __init__(self) -> None:
         self._faults = Faults()
-        self._left = 0
-        self._struck = 0
+        self._remaining_requests = 0
+        self._affected_requests = 0
 
     @property
-    def struck(self) -> int:
-        """Requests that the faults in force have struck."""
-        return self._struck
+    def affected_requests(self) -> int:
+        """Number of requests that the active faults have affected."""
+        return self._affected_requests
 
     @property
-    def standing(self) -> Faults:
-        """Faults in force, whichever request comes."""
+    def current(self) -> Faults:
+        """Active faults, without regard to the request limit."""
         return self._faults
 
     def set(self, faults: Faults) -> None:
-        """Replace the faults in force."""
+        """Replace the active faults and reset the counts."""
         self._faults = faults
-        self._left = faults.times
-        self._struck = 0
+        self._remaining_requests = faults.times
+        self._affected_requests = 0
+
+    def next_request_faults(self) -> Faults:
+        """Return the faults for the next request, and count the request.
 
-    def strike(self) -> Faults:
-        """Return the faults for one request."""
+        The crash marker applies beyond the request limit too.
+        """
         faults = self._faults
-        if faults.times and not self._left:
+        if faults.times and not self._remaining_requests:
             return attrs.evolve(Faults(), crash_marker=faults.crash_marker)
-        self._left = max(0, self._left - 1)
-        self._struck += 1
+        self._remaining_requests = max(0, self._remaining_requests - 1)
+        self._affected_requests += 1
         return faults
--- a/berylnotch/standins/fleet.py
+++ b/berylnotch/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet on loopback: controllers, routers and stand-ins as processes."""
+"""Fleet on loopback with controllers, routers and stand-ins as processes."""
 
 from __future__ import annotations
 
@@ -32,45 +32,51 @@
     identity_key,
 )
 
-#: Operator that the fleet's client acts as.
+#: Operator name of the fleet's control client.
 OPERATOR = "asha"
-_DAEMON = "berylnotch.cmd.daemon"
-#: Seconds for a condition to come true.
+_DAEMON_MODULE = "berylnotch.cmd.daemon"
+#: Time within which a condition has to become true, in seconds.
 WAIT_LIMIT_S = 30.0
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 class ConditionError(Exception):
-    """A condition did not come true in time."""
+    """A condition did not become true in time, or a command was refused."""
 
 
 def wait_for(condition: Callable[[], object], what: str) -> object:
-    """Wait until ``condition`` returns something true, and return that."""
+    """Poll ``condition`` until its result is true, and return the result.
+
+    Raises
+    ------
+    ConditionError
+        If the condition is still false after `WAIT_LIMIT_S`.
+    """
     deadline = time.monotonic() + WAIT_LIMIT_S
     while time.monotonic() < deadline:
-        found = condition()
-        if found:
-            return found
-        time.sleep(_POLL_S)
-    raise ConditionError(f"waited {WAIT_LIMIT_S:.0f} s in vain: {what}")
+        result = condition()
+        if result:
+            return result
+        time.sleep(_POLL_INTERVAL_S)
+    raise ConditionError(f"waited {WAIT_LIMIT_S:.0f} s without success: {what}")
 
 
 class LocalFleet:
-    """Processes of one fleet under one folder.
+    """Processes of a fleet whose files are in one folder.
 
     Parameters
     ----------
     folder : Path
-        Folder for settings, data and logs.
+        Folder for settings files, data and logs.
     """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._secret = secrets.token_hex(32).encode()
         self._children: dict[str, Child] = {}
-        self._listen: dict[str, str] = {}
+        self._listen_addresses: dict[str, str] = {}
         self._domains: dict[str, str] = {}
-        self._client: Client | None = None
+        self._operator_client: Client | None = None
         folder.mkdir(parents=True, exist_ok=True)
         self.secret_file.write_bytes(self._secret)
 
@@ -97,26 +103,30 @@
     @property
     def controllers(self) -> dict[str, str]:
         """Addresses of the controllers by name."""
-        return {n: a for n, a in self._listen.items() if n.startswith("c")}
+        return {
+            controller: address
+            for controller, address in self._listen_addresses.items()
+            if controller.startswith("c")
+        }
 
     @property
     def client(self) -> Client:
-        """Client of the controllers, as the operator `OPERATOR`."""
-        if self._client is None:
+        """Client for the controllers with the identity of the operator `OPERATOR`."""
+        if self._operator_client is None:
             identity = OPERATOR_PREFIX + OPERATOR
             key = identity_key(self._secret, identity)
-            self._client = Client(
+            self._operator_client = Client(
                 tuple(self.controllers.values()), identity, key, timeout_s=30.0
             )
-            self._client.start()
-        return self._client
+            self._operator_client.start()
+        return self._operator_client
 
     def data_folder(self, name: str) -> Path:
         """Return the data folder of a controller."""
         return self._folder / f"{name}-data"
 
     def start_all(self, starts: Sequence[Callable[[], Child]]) -> list[Child]:
-        """Start several processes at the same time; return them in order."""
+        """Start several processes concurrently and return them in the given order."""
         with ThreadPoolExecutor(len(starts)) as executor:
             futures = [executor.submit(start) for start in starts]
             return [future.result() for future in futures]
@@ -134,32 +144,35 @@
     def start_controller(
         self, name: str, domain: str, host: str = "127.0.0.1", advertise: str = ""
     ) -> Child:
-        """Start one controller; a restarted one keeps its address.
+        """Start a controller; a restarted controller keeps its address.
 
         Parameters
         ----------
         name, domain : str
             Name and failure domain of its VM.
         host : str, default="127.0.0.1"
-            IP number to listen on.
+            IP address to listen on.
         advertise : str, default=""
-            Address that others are told, if it is another one.
+            Address that the controller advertises to other processes; if empty, the
+            address that it listens on.
         """
         settings = self._folder / f"{name}.ini"
-        listen = self._listen.get(name, f"{host}:0")
+        listen = self._listen_addresses.get(name, f"{host}:0")
         settings.write_text(
             f"[controller]\nname = {name}\nfailure-domain = {domain}\n"
             f"listen = {listen}\ndata-folder = {self.data_folder(name)}\n"
             f"secret-file = {self.secret_file}\nadvertise = {advertise}\n",
             encoding="utf-8",
         )
-        child = self._start(name, (_DAEMON, "controller", "--settings", str(settings)))
-        self._listen[name] = child.address
+        child = self._start_child(
+            name, (_DAEMON_MODULE, "controller", "--settings", str(settings))
+        )
+        self._listen_addresses[name] = child.address
         self._domains[name] = domain
         return child
 
     def restart(self, name: str) -> Child:
-        """Start a controller or router again under its old addresses."""
+        """Start a controller or router again at its previous address."""
         if name.startswith("c"):
             return self.start_controller(name, self._domains[name])
         return self.start_router(name, self._domains[name])
@@ -167,11 +180,12 @@
     def bootstrap(self, names: tuple[str, ...]) -> None:
         """Form a group of new controllers."""
         replies = [
-            self.client.call_at(self._listen[name], JoinRequest()) for name in names
+            self.client.call_at(self._listen_addresses[name], JoinRequest())
+            for name in names
         ]
         members = Members(tuple(reply.member for reply in replies))
         for name in names:
-            self.client.call_at(self._listen[name], BootstrapRequest(members))
+            self.client.call_at(self._listen_addresses[name], BootstrapRequest(members))
 
     def start_router(
         self,
@@ -180,7 +194,7 @@
         http: str = "",
         peers: Mapping[str, str] | None = None,
     ) -> Child:
-        """Start one router; a restarted one keeps its address for callers.
+        """Start a router; a restarted router keeps its address for callers.
 
         Parameters
         ----------
@@ -192,49 +206,58 @@
             Addresses of other routers by name.
         """
         settings = self._folder / f"{name}.ini"
-        controllers = "".join(f"{n} = {a}\n" for n, a in self.controllers.items())
-        routers = "".join(f"{n} = {a}\n" for n, a in (peers or {}).items())
-        http = http or self._listen.get(name, "127.0.0.1:0")
+        controllers = "".join(
+            f"{controller} = {address}\n"
+            for controller, address in self.controllers.items()
+        )
+        routers = "".join(
+            f"{router} = {address}\n" for router, address in (peers or {}).items()
+        )
+        http = http or self._listen_addresses.get(name, "127.0.0.1:0")
         settings.write_text(
             f"[router]\nname = {name}\nfailure-domain = {domain}\nhttp = {http}\n"
             f"listen = 127.0.0.1:0\nsecret-file = {self.secret_file}\n"
             f"[controllers]\n{controllers}[routers]\n{routers}",
             encoding="utf-8",
         )
-        child = self._start(name, (_DAEMON, "router", "--settings", str(settings)))
-        self._listen[name] = child.address
+        child = self._start_child(
+            name, (_DAEMON_MODULE, "router", "--settings", str(settings))
+        )
+        self._listen_addresses[name] = child.address
         self._domains[name] = domain
         return child
 
     def peer(self, number: int) -> str:
-        """Return the address of router ``entry-NUMBER`` for other processes."""
+        """Return the address of router ``entry-NUMBER`` for connections of peers."""
         log = self._children[f"entry-{number}"].log
         return re.search(r"event=router_started .* listen=(\S+)", log)[1]
 
     def start_engine(self, name: str, *arguments: str) -> Child:
         """Start a stand-in for a model engine."""
         module = "berylnotch.standins.engine"
-        return self._start(name, (module, "--port", "0", "--name", name, *arguments))
+        return self._start_child(
+            name, (module, "--port", "0", "--name", name, *arguments)
+        )
 
     def start_plain(self, name: str, *arguments: str) -> Child:
         """Start a stand-in for a plain service."""
         module = "berylnotch.standins.plain"
-        return self._start(name, (module, "--port", "0", *arguments))
+        return self._start_child(name, (module, "--port", "0", *arguments))
 
     def propose(self, command: object) -> Result:
         """Propose an operator's command and return its result."""
         return self.client.call(ProposeRequest(encode(command))).result
 
     def apply(self, text: str, base_revision: int) -> Result:
-        """Put an operators' text in force."""
+        """Apply a configuration text."""
         return self.propose(self.text_change(text, base_revision))
 
     def text_change(self, text: str, base_revision: int) -> ApplyText:
-        """Return the command that puts a text in force."""
+        """Return the command that applies a configuration text."""
         return ApplyText(secrets.token_hex(8), OPERATOR, base_revision, text)
 
     def give_key(self, organisation: str) -> NewKey:
-        """Give an organisation a new key."""
+        """Create a key for an organisation."""
         key = new_key()
         change_id = secrets.token_hex(8)
         digest = digest_key(key.key)
@@ -245,23 +268,23 @@
         return key
 
     def withdraw_key(self, key_id: str) -> Result:
-        """Withdraw a key."""
+        """Revoke a key."""
         return self.propose(WithdrawKey(secrets.token_hex(8), OPERATOR, key_id))
 
     def close(self) -> None:
-        """End all processes that still run."""
-        if self._client is not None:
-            self._client.close()
+        """Close the client and kill all processes that are still running."""
+        if self._operator_client is not None:
+            self._operator_client.close()
         for child in self._children.values():
             if child.is_running:
                 child.kill()
 
     def leader(self) -> str:
-        """Return the name of the controller that leads."""
+        """Return the name of the leading controller."""
         reply = self.client.call(StatusRequest())
         return reply.leader.partition("/")[0]
 
-    def _start(self, name: str, arguments: tuple[str, ...]) -> Child:
+    def _start_child(self, name: str, arguments: tuple[str, ...]) -> Child:
         child = Child(arguments, self._folder / f"{name}.log")
         child.start()
         self._children[name] = child
--- a/berylnotch/standins/generation.py
+++ b/berylnotch/standins/generation.py
@@ -1,4 +1,7 @@
-"""Content of a stand-in engine's answers, fixed by prompt, model and weights."""
+"""Response content of the stand-in engine.
+
+The content is a function of prompt, model and weights version.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,8 @@
 
 from attrs import frozen
 
-#: Creation time in every answer, so that a resumed stream repeats its bytes.
+#: Creation time in each response; it is constant so that a resumed stream repeats
+#: the same bytes.
 CREATED_S = 1_700_000_000
 
 
@@ -17,7 +21,7 @@
 
 @frozen
 class Generation:
-    """One generation request as the engine understood it."""
+    """Parsed generation request."""
 
     chat: bool
     stream: bool
@@ -29,76 +33,85 @@
 
     @property
     def answer_id(self) -> str:
-        """Identifier in the answer's JSON."""
+        """Identifier in the JSON of the response."""
         return ("chatcmpl-" if self.chat else "cmpl-") + self.seed
 
     @property
     def events(self) -> int:
-        """Events before the end marker: tokens, finish and usage."""
+        """Number of events before the end marker: tokens, finish event and usage."""
         return self.tokens + 1 + self.include_usage
 
     @property
     def prompt_tokens(self) -> int:
-        """Prompt length in tokens, at four bytes each."""
+        """Prompt length in tokens, at four bytes for each token."""
         return max(1, len(self.prompt) // 4)
 
 
 def parse_generation(
     path: str, body: bytes, weights: str, default_tokens: int
 ) -> Generation:
-    """Read a request body; raises `BadBodyError`."""
+    """Parse a request body.
+
+    Raises
+    ------
+    BadBodyError
+        If the body is not a valid generation request.
+    """
     try:
         fields = json.loads(body)
         chat = path.endswith("/chat/completions")
-        prompt = _chat_prompt(fields) if chat else str(fields["prompt"])
+        prompt = _flatten_messages(fields) if chat else str(fields["prompt"])
         model = str(fields["model"])
         tokens = fields.get("max_completion_tokens") or fields.get("max_tokens")
         tokens = int(tokens or default_tokens)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise BadBodyError(f"bad body: {error!r}") from error
     options = fields.get("stream_options") or {}
-    text = prompt.encode()
+    prompt_bytes = prompt.encode()
     seed = hashlib.blake2b(digest_size=6, key=weights.encode()[:64])
-    seed.update(model.encode() + b"\0" + text)
+    seed.update(model.encode() + b"\0" + prompt_bytes)
     return Generation(
         chat=chat,
         stream=bool(fields.get("stream")),
         include_usage=bool(options.get("include_usage")),
         model=model,
-        prompt=text,
+        prompt=prompt_bytes,
         tokens=max(1, tokens),
         seed=seed.hexdigest(),
     )
 
 
-def token(generation: Generation, number: int) -> str:
+def token_text(generation: Generation, number: int) -> str:
     """Return the token with this number, counted from 1."""
     return f"{generation.seed[:4]}-{number} "
 
 
-def content(generation: Generation) -> str:
+def generated_text(generation: Generation) -> str:
     """Return the whole generated text."""
-    return "".join(token(generation, n) for n in range(1, generation.tokens + 1))
+    return "".join(token_text(generation, n) for n in range(1, generation.tokens + 1))
 
 
 class EventWriter:
-    """Writes the events of one stream; the JSON around a token is made once."""
+    """Encodes the events of a stream.
+
+    The JSON around the token text is encoded once for the whole stream.
+    """
 
     def __init__(self, generation: Generation) -> None:
         self._generation = generation
-        mark = "@TOKEN@"
-        text = json.dumps(self._chunk([self._choice(mark, None)]))
-        before, after = text.split(mark)
-        self._before = before
-        self._after = after + "\n\n"
+        placeholder = "@TOKEN@"
+        text = json.dumps(self._chunk([self._choice(placeholder, None)]))
+        prefix, suffix = text.split(placeholder)
+        self._prefix = prefix
+        self._suffix = suffix + "\n\n"
 
     def event(self, number: int) -> bytes:
         """Return the event with this number, counted from 1."""
         generation = self._generation
         if number <= generation.tokens:
             return (
-                f"id: {number}\ndata: {self._before}"
-                f"{token(generation, number)}{self._after}"
+                f"id: {number}\ndata: {self._prefix}"
+                f"{token_text(generation, number)}{self._suffix}"
             ).encode()
         if number == generation.tokens + 1:
             chunk = self._chunk([self._choice("", "stop")])
@@ -120,22 +133,22 @@
             "choices": choices,
         }
 
-    def _choice(self, text: str, finish: str | None) -> dict[str, object]:
+    def _choice(self, text: str, finish_reason: str | None) -> dict[str, object]:
         if not self._generation.chat:
-            return {"index": 0, "text": text, "finish_reason": finish}
+            return {"index": 0, "text": text, "finish_reason": finish_reason}
         delta = {"role": "assistant", "content": text}
-        return {"index": 0, "delta": delta, "finish_reason": finish}
+        return {"index": 0, "delta": delta, "finish_reason": finish_reason}
 
 
-def whole_answer(generation: Generation) -> bytes:
-    """Return the body of an answer that isn't streamed."""
-    text = content(generation)
+def complete_response(generation: Generation) -> bytes:
+    """Return the body of a response that is not streamed."""
+    text = generated_text(generation)
     choice: dict[str, object] = {"index": 0, "finish_reason": "stop"}
     if generation.chat:
         choice["message"] = {"role": "assistant", "content": text}
     else:
         choice["text"] = text
-    answer = {
+    response = {
         "id": generation.answer_id,
         "object": "chat.completion" if generation.chat else "text_completion",
         "created": CREATED_S,
@@ -143,24 +156,24 @@
         "choices": [choice],
         "usage": usage(generation),
     }
-    return json.dumps(answer).encode()
+    return json.dumps(response).encode()
 
 
 def usage(generation: Generation) -> dict[str, int]:
-    """Return the token counts of a whole answer."""
-    prompt = generation.prompt_tokens
+    """Return the token counts of a complete response."""
+    prompt_tokens = generation.prompt_tokens
     return {
-        "prompt_tokens": prompt,
+        "prompt_tokens": prompt_tokens,
         "completion_tokens": generation.tokens,
-        "total_tokens": prompt + generation.tokens,
+        "total_tokens": prompt_tokens + generation.tokens,
     }
 
 
-def _chat_prompt(fields: dict[str, object]) -> str:
+def _flatten_messages(fields: dict[str, object]) -> str:
     lines = []
     for message in fields["messages"]:
-        text = message.get("content") or ""
-        if not isinstance(text, str):
-            text = "".join(part.get("text", "") for part in text)
-        lines.append(f"{message['role']}: {text}\n")
+        message_text = message.get("content") or ""
+        if not isinstance(message_text, str):
+            message_text = "".join(part.get("text", "") for part in message_text)
+        lines.append(f"{message['role']}: {message_text}\n")
     return "".join(lines)
--- a/berylnotch/standins/httpd.py
+++ b/berylnotch/standins/httpd.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server on one event loop, for the stand-ins only."""
+"""Minimal HTTP/1.1 server on an event loop, for the stand-ins only."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 from attrs import frozen
 
-#: Longest request head accepted, in bytes.
+#: Maximum length of a request's header section, in bytes.
 HEAD_LIMIT_BYTES = 64 * 1024
-#: Longest request body accepted, in bytes.
+#: Maximum length of a request body, in bytes.
 BODY_LIMIT_BYTES = 16 * 1024 * 1024
 _READ_BYTES = 256 * 1024
 _BACKLOG = 1024
@@ -26,7 +26,7 @@
 
 @frozen
 class Request:
-    """A whole request."""
+    """Complete request."""
 
     method: str
     path: str
@@ -36,51 +36,51 @@
 
 
 class Timer:
-    """A call that is due at a time and can be cancelled."""
+    """Scheduled callback that can be cancelled."""
 
-    __slots__ = ("call", "cancelled")
+    __slots__ = ("callback", "is_cancelled")
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call = call
-        self.cancelled = False
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback = callback
+        self.is_cancelled = False
 
     def cancel(self) -> None:
-        """Drop the call."""
-        self.cancelled = True
+        """Cancel the callback."""
+        self.is_cancelled = True
 
 
 class Connection:
-    """One caller's connection; requests on it are answered in turn."""
+    """Connection of a caller; its requests are handled one after the other."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self.on_close: Callable[[], None] | None = None
         self._loop = loop
         self._sock = sock
-        self._in = bytearray()
-        self._out = bytearray()
-        self._busy = False
-        self._closing = False
-        self._closed = False
+        self._received = bytearray()
+        self._unsent = bytearray()
+        self._is_handling = False
+        self._closes_after_writes = False
+        self._is_closed = False
 
     @property
     def is_closed(self) -> bool:
-        """Whether the connection is gone."""
-        return self._closed
+        """Whether the connection is closed."""
+        return self._is_closed
 
     @property
-    def pending(self) -> int:
-        """Bytes that the caller hasn't taken yet."""
-        return len(self._out)
+    def unsent_bytes(self) -> int:
+        """Number of buffered bytes that the socket has not accepted yet."""
+        return len(self._unsent)
 
     def fileno(self) -> int:
-        """Descriptor of the socket."""
+        """File descriptor of the socket."""
         return self._sock.fileno()
 
     def send(self, data: bytes) -> None:
-        """Send now what the socket takes and keep the rest."""
-        if self._closed:
+        """Send as much as the socket accepts, and buffer the remainder."""
+        if self._is_closed:
             return
-        if not self._out:
+        if not self._unsent:
             try:
                 sent = self._sock.send(data)
             except BlockingIOError:
@@ -92,68 +92,68 @@
                 return
             data = data[sent:]
             self._loop.watch_writes(self, True)
-        self._out += data
+        self._unsent += data
 
     def respond(
         self, status: int, body: bytes, headers: Mapping[str, str] | None = None
     ) -> None:
-        """Send a whole answer and take the next request."""
-        fields = {"content-type": "application/json", **(headers or {})}
-        fields["content-length"] = str(len(body))
-        self.send(format_head(status, fields) + body)
-        self.finish()
-
-    def finish(self) -> None:
-        """Take the next request on this connection."""
-        self._busy = False
+        """Send a complete response and start on the next request."""
+        header_fields = {"content-type": "application/json", **(headers or {})}
+        header_fields["content-length"] = str(len(body))
+        self.send(format_head(status, header_fields) + body)
+        self.finish_response()
+
+    def finish_response(self) -> None:
+        """End the current request and start on the next one of the connection."""
+        self._is_handling = False
         self.on_close = None
         self._read_request()
 
     def close(self) -> None:
-        """Close after an orderly end of the byte stream."""
-        if self._closed:
+        """Close the socket and call ``on_close``."""
+        if self._is_closed:
             return
-        self._closed = True
-        self._loop.forget(self)
+        self._is_closed = True
+        self._loop.remove_connection(self)
         self._sock.close()
-        call, self.on_close = self.on_close, None
-        if call is not None:
-            call()
+        callback, self.on_close = self.on_close, None
+        if callback is not None:
+            callback()
 
     def close_after_writes(self) -> None:
-        """Close once everything is sent."""
-        self._closing = True
-        if not self._out:
+        """Close as soon as all buffered bytes are sent."""
+        self._closes_after_writes = True
+        if not self._unsent:
             self.close()
 
     def abort(self) -> None:
-        """Close with a reset, as a killed process would."""
-        if self._closed:
+        """Reset the connection, to simulate a process that was killed."""
+        if self._is_closed:
             return
         linger = struct.pack("ii", 1, 0)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self.close()
 
     def handle(self, events: int) -> None:
-        """Act on the socket being readable or writable."""
-        if events & selectors.EVENT_WRITE and not self._closed:
-            self._flush()
-        if events & selectors.EVENT_READ and not self._closed:
+        """Handle readiness events of the socket."""
+        if events & selectors.EVENT_WRITE and not self._is_closed:
+            self._send_unsent()
+        if events & selectors.EVENT_READ and not self._is_closed:
             self._receive()
 
-    def _flush(self) -> None:
+    def _send_unsent(self) -> None:
         try:
-            sent = self._sock.send(self._out)
+            sent = self._sock.send(self._unsent)
         except BlockingIOError:
             return
         except OSError:
             self.close()
             return
-        del self._out[:sent]
-        if self._out:
+        del self._unsent[:sent]
+        if self._unsent:
             return
         self._loop.watch_writes(self, False)
-        if self._closing:
+        if self._closes_after_writes:
             self.close()
 
     def _receive(self) -> None:
@@ -166,31 +166,31 @@
         if not data:
             self.close()
             return
-        self._in += data
-        if not self._busy:
+        self._received += data
+        if not self._is_handling:
             self._read_request()
 
     def _read_request(self) -> None:
-        end = self._in.find(b"\r\n\r\n")
-        if end < 0:
-            if len(self._in) > HEAD_LIMIT_BYTES:
+        head_end = self._received.find(b"\r\n\r\n")
+        if head_end < 0:
+            if len(self._received) > HEAD_LIMIT_BYTES:
                 self.close()
             return
-        method, target, headers = _parse_head(bytes(self._in[:end]))
+        method, target, headers = _parse_head(bytes(self._received[:head_end]))
         length = int(headers.get("content-length", "0"))
         if length > BODY_LIMIT_BYTES:
             self.close()
             return
-        if len(self._in) < end + 4 + length:
-            if headers.pop("expect", "") and len(self._in) == end + 4:
+        if len(self._received) < head_end + 4 + length:
+            if headers.pop("expect", "") and len(self._received) == head_end + 4:
                 self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
             return
-        body = bytes(self._in[end + 4 : end + 4 + length])
-        del self._in[: end + 4 + length]
-        parts = urlsplit(target)
-        query = {name: values[-1] for name, values in parse_qs(parts.query).items()}
-        self._busy = True
-        request = Request(method, parts.path, query, headers, body)
+        body = bytes(self._received[head_end + 4 : head_end + 4 + length])
+        del self._received[: head_end + 4 + length]
+        url = urlsplit(target)
+        query = {name: values[-1] for name, values in parse_qs(url.query).items()}
+        self._is_handling = True
+        request = Request(method, url.path, query, headers, body)
         self._loop.handler(self, request)
 
 
@@ -200,7 +200,7 @@
     Parameters
     ----------
     handler : callable
-        Called with each connection and request.
+        Called with the connection and the request, for each complete request.
     """
 
     def __init__(self, handler: Callable[[Connection, Request], None]) -> None:
@@ -208,8 +208,8 @@
         self._selector = selectors.DefaultSelector()
         self._listener: socket.socket | None = None
         self._timers: list[tuple[float, int, Timer]] = []
-        self._order = itertools.count()
-        self._running = True
+        self._timer_numbers = itertools.count()
+        self._is_running = True
         self.connections: set[Connection] = set()
 
     def listen(self, port: int) -> int:
@@ -224,45 +224,45 @@
         return listener.getsockname()[1]
 
     def close_listener(self) -> None:
-        """Refuse new connections."""
+        """Close the listening socket, so that new connections are refused."""
         if self._listener is not None:
             self._selector.unregister(self._listener)
             self._listener.close()
             self._listener = None
 
-    def call_at(self, when: float, call: Callable[[], None]) -> Timer:
-        """Call at ``when``, in seconds of the monotonic clock."""
-        timer = Timer(call)
-        heapq.heappush(self._timers, (when, next(self._order), timer))
+    def call_at(self, due_s: float, callback: Callable[[], None]) -> Timer:
+        """Schedule a callback at ``due_s``, in seconds of the monotonic clock."""
+        timer = Timer(callback)
+        heapq.heappush(self._timers, (due_s, next(self._timer_numbers), timer))
         return timer
 
-    def call_later(self, delay_s: float, call: Callable[[], None]) -> Timer:
-        """Call after ``delay_s`` seconds."""
-        return self.call_at(time.monotonic() + delay_s, call)
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> Timer:
+        """Schedule a callback after ``delay_s`` seconds."""
+        return self.call_at(time.monotonic() + delay_s, callback)
 
-    def watch_writes(self, connection: Connection, watch: bool) -> None:
-        """Tell the connection, or no longer, when its socket takes bytes."""
+    def watch_writes(self, connection: Connection, is_watched: bool) -> None:
+        """Start or stop watching a connection's socket for writability."""
         events = selectors.EVENT_READ
-        if watch:
+        if is_watched:
             events |= selectors.EVENT_WRITE
         self._selector.modify(connection, events, connection)
 
-    def forget(self, connection: Connection) -> None:
-        """Drop a connection that closes."""
+    def remove_connection(self, connection: Connection) -> None:
+        """Remove a connection before its socket is closed."""
         self._selector.unregister(connection)
         self.connections.discard(connection)
 
-    def watch(self, sock: socket.socket, reader: _Waker) -> None:
-        """Call ``reader.handle`` when the socket is readable."""
-        self._selector.register(sock, selectors.EVENT_READ, reader)
+    def watch_reads(self, sock: socket.socket, signal_reader: _SignalReader) -> None:
+        """Call ``signal_reader.handle`` when the socket is readable."""
+        self._selector.register(sock, selectors.EVENT_READ, signal_reader)
 
     def stop(self) -> None:
-        """End ``run`` after the current round."""
-        self._running = False
+        """Stop ``run`` after the current iteration."""
+        self._is_running = False
 
     def run(self) -> None:
-        """Serve until ``stop``."""
-        while self._running:
+        """Run the event loop until ``stop`` is called, then close all sockets."""
+        while self._is_running:
             for key, events in self._selector.select(self._timeout_s()):
                 if key.data is None:
                     self._accept()
@@ -283,8 +283,8 @@
         now = time.monotonic()
         while self._timers and self._timers[0][0] <= now:
             timer = heapq.heappop(self._timers)[2]
-            if not timer.cancelled:
-                timer.call()
+            if not timer.is_cancelled:
+                timer.callback()
 
     def _accept(self) -> None:
         while self._listener is not None:
@@ -300,55 +300,65 @@
 
 
 @frozen
-class Program:
-    """A stand-in's loop, wanted port (0: any) and who learns the port."""
+class Server:
+    """Event loop of a stand-in and the port to listen on.
+
+    Attributes
+    ----------
+    loop : Loop
+        Event loop of the stand-in.
+    port : int
+        Port to listen on; 0 selects a free port.
+    on_listen : callable
+        Called with the port that the loop listens on.
+    """
 
     loop: Loop
     port: int = 0
     on_listen: Callable[[int], None] = lambda _port: None
 
 
-def serve(program: Program) -> int:
-    """Print the address, serve until SIGTERM or SIGINT, and return 0."""
-    port = program.loop.listen(program.port)
-    program.on_listen(port)
+def serve(server: Server) -> int:
+    """Print the listen address, serve until SIGTERM or SIGINT, and return 0."""
+    port = server.loop.listen(server.port)
+    server.on_listen(port)
     wake_read, wake_write = socket.socketpair()
     wake_write.setblocking(False)
     signal.set_wakeup_fd(wake_write.fileno())
-    program.loop.watch(wake_read, _Waker(program, wake_read))
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: None)
+    server.loop.watch_reads(wake_read, _SignalReader(server, wake_read))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: None)
     print(f"listening 127.0.0.1:{port}", flush=True)
-    program.loop.run()
+    server.loop.run()
     signal.set_wakeup_fd(-1)
     sys.stdout.flush()
     return 0
 
 
-class _Waker:
-    """Turns the signal's byte into the end of the loop."""
+class _SignalReader:
+    """Stops the loop when a signal writes to the wake-up socket."""
 
     is_closed = False
 
-    def __init__(self, program: Program, sock: socket.socket) -> None:
-        self._program = program
+    def __init__(self, server: Server, sock: socket.socket) -> None:
+        self._server = server
         self._sock = sock
 
     def handle(self, _events: int) -> None:
         self._sock.recv(64)
-        self._program.loop.stop()
+        self._server.loop.stop()
 
 
-def format_head(status: int, fields: Mapping[str, str]) -> bytes:
-    """Return an answer's status line and header fields."""
+def format_head(status: int, header_fields: Mapping[str, str]) -> bytes:
+    """Return the encoded status line and header fields of a response."""
     lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}"]
-    lines += [f"{name}: {value}" for name, value in fields.items()]
+    lines += [f"{name}: {value}" for name, value in header_fields.items()]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
 def _parse_head(head: bytes) -> tuple[str, str, dict[str, str]]:
-    first, *lines = head.decode("latin-1").split("\r\n")
-    method, target, _ = (first + "  ").split(" ", 2)
+    request_line, *lines = head.decode("latin-1").split("\r\n")
+    method, target, _ = (request_line + "  ").split(" ", 2)
     headers = {}
     for line in lines:
         name, _, value = line.partition(":")
--- a/berylnotch/standins/link.py
+++ b/berylnotch/standins/link.py
@@ -1,7 +1,7 @@
-"""A network link that a test can cut, between processes on loopback.
+"""Forwarding proxy that simulates network partitions between processes on loopback.
 
-Processes that listen on different addresses of 127.0.0.0/8 also connect from
-them, so that a link knows who connects.
+A process that listens on an address of 127.0.0.0/8 also connects from that address,
+so that the proxy identifies the process by the source address of its connections.
 """
 
 from __future__ import annotations
@@ -16,90 +16,90 @@
 
 
 class Link:
-    """Forwards connections to one process, unless their source is cut off.
+    """Forwards connections to one process, except those of partitioned sources.
 
-    Bytes of a source that is cut off are held back, as on a network partition:
-    nobody is told.
+    The bytes of a partitioned source stay unread in the socket buffers. Neither end
+    gets an error, as in a real network partition.
 
     Parameters
     ----------
     loop : Loop
         Loop that serves the sockets.
     target : str
-        ``IP:port`` of the process.
+        ``IP:port`` of the process that connections are forwarded to.
     """
 
     def __init__(self, loop: Loop, target: str) -> None:
         self._loop = loop
         self._target = parse_address(target)
-        self._cut: set[str] = set()
-        self._flows: list[_Flow] = []
-        self._sock = socket.create_server(("127.0.0.1", 0))
-        self._sock.setblocking(False)
+        self._cut_sources: set[str] = set()
+        self._connections: list[_ForwardedConnection] = []
+        self._listener = socket.create_server(("127.0.0.1", 0))
+        self._listener.setblocking(False)
 
     @property
     def address(self) -> str:
-        """Address under which others reach the process."""
-        host, port = self._sock.getsockname()
+        """``IP:port`` at which other processes reach the target through the link."""
+        host, port = self._listener.getsockname()
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Forward connections."""
+        """Start to accept and forward connections."""
         self._loop.call_soon(
-            lambda: self._loop.watch(self._sock, selectors.EVENT_READ, self._accept)
+            lambda: self._loop.watch(self._listener, selectors.EVENT_READ, self._accept)
         )
 
     def cut(self, source: str) -> None:
-        """Hold back everything between a source's IP and the process."""
-        self._loop.call_soon(lambda: self._set(source, True))
+        """Stop forwarding between the IP address ``source`` and the target."""
+        self._loop.call_soon(lambda: self._set_cut(source, True))
 
     def heal(self, source: str) -> None:
-        """Forward again."""
-        self._loop.call_soon(lambda: self._set(source, False))
+        """Forward the connections of ``source`` again."""
+        self._loop.call_soon(lambda: self._set_cut(source, False))
 
-    def _set(self, source: str, is_cut: bool) -> None:
+    def _set_cut(self, source: str, is_cut: bool) -> None:
         if is_cut:
-            self._cut.add(source)
+            self._cut_sources.add(source)
         else:
-            self._cut.discard(source)
-        for flow in self._flows:
-            if flow.source == source:
-                flow.set_held(is_cut)
+            self._cut_sources.discard(source)
+        for connection in self._connections:
+            if connection.source == source:
+                connection.set_paused(is_cut)
 
     def _accept(self, _events: int) -> None:
-        sock, (source, _port) = self._sock.accept()
-        flow = _Flow(self._loop, sock, source, self._target)
-        self._flows.append(flow)
-        flow.set_held(source in self._cut)
+        sock, (source, _port) = self._listener.accept()
+        connection = _ForwardedConnection(self._loop, sock, source, self._target)
+        self._connections.append(connection)
+        connection.set_paused(source in self._cut_sources)
 
 
-class _Flow:
-    """One forwarded connection."""
+class _ForwardedConnection:
+    """Connection pair of a client and the target."""
 
     def __init__(
-        self, loop: Loop, sock: socket.socket, source: str, target: Address
+        self, loop: Loop, client_sock: socket.socket, source: str, target: Address
     ) -> None:
         self.source = source
         self._loop = loop
-        self._near = sock
-        self._far = socket.create_connection(target.pair)
+        self._client_sock = client_sock
+        self._server_sock = socket.create_connection(target.pair)
         self._is_open = True
 
-    def set_held(self, is_held: bool) -> None:
-        """Stop reading both ends, or read them again."""
+    def set_paused(self, is_paused: bool) -> None:
+        """Stop or resume reading from both sockets."""
         if not self._is_open:
             return
-        events = 0 if is_held else selectors.EVENT_READ
-        self._loop.watch(self._near, events, self._from_near)
-        self._loop.watch(self._far, events, self._from_far)
+        events = 0 if is_paused else selectors.EVENT_READ
+        self._loop.watch(self._client_sock, events, self._on_client_readable)
+        self._loop.watch(self._server_sock, events, self._on_server_readable)
 
-    def _from_near(self, _events: int) -> None:
-        self._copy(self._near, self._far)
+    def _on_client_readable(self, _events: int) -> None:
+        self._forward(self._client_sock, self._server_sock)
 
-    def _from_far(self, _events: int) -> None:
-        self._copy(self._far, self._near)
+    def _on_server_readable(self, _events: int) -> None:
+        self._forward(self._server_sock, self._client_sock)
 
-    def _copy(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         try:
             data = source.recv(_READ_BYTES)
             if data:
@@ -108,7 +108,7 @@
         except OSError:
             pass
         self._is_open = False
-        self._loop.watch(self._near, 0, self._from_near)
-        self._loop.watch(self._far, 0, self._from_far)
-        self._near.close()
-        self._far.close()
+        self._loop.watch(self._client_sock, 0, self._on_client_readable)
+        self._loop.watch(self._server_sock, 0, self._on_server_readable)
+        self._client_sock.close()
+        self._server_sock.close()
--- a/berylnotch/standins/process.py
+++ b/berylnotch/standins/process.py
@@ -1,4 +1,4 @@
-"""A child process that says on its first line where it listens."""
+"""Child process that prints its listen address on its first output line."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-_PREFIX = "listening "
-#: Seconds for a child to say where it listens.
-START_LIMIT_S = 30.0
-#: Seconds for a child to end after a signal.
-STOP_LIMIT_S = 60.0
+_ADDRESS_PREFIX = "listening "
+#: Time within which a child has to print its listen address, in seconds.
+START_TIMEOUT_S = 30.0
+#: Time within which a child has to exit after a signal, in seconds.
+STOP_TIMEOUT_S = 60.0
 
 
 class ChildError(Exception):
-    """A child process did not start or stop."""
+    """A child process did not start or stop in time."""
 
 
 class Child:
-    """A Python module that runs as a process of its own.
+    """Python module that runs in a child process.
 
     Parameters
     ----------
     arguments : sequence of str
         Module name and its arguments.
     log : Path
-        File that gets the process's log.
+        File that the standard error of the process is appended to.
     """
 
     def __init__(self, arguments: Sequence[str], log: Path) -> None:
@@ -40,7 +40,7 @@
 
     @property
     def address(self) -> str:
-        """``IP:port`` that the process printed."""
+        """Listen address, ``IP:port``, that the process printed."""
         return self._address
 
     @property
@@ -50,16 +50,22 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has been started and has not exited."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def log(self) -> str:
-        """What the process logged so far."""
+        """Content of the log file."""
         return self._log_path.read_text(encoding="utf-8", errors="replace")
 
     def start(self) -> None:
-        """Start the process and wait for its first line."""
+        """Start the process and wait until it prints its listen address.
+
+        Raises
+        ------
+        ChildError
+            If the process exits or `START_TIMEOUT_S` passes first.
+        """
         with self._log_path.open("a", encoding="utf-8") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", *self._arguments],
@@ -67,38 +73,44 @@
                 stderr=log,
                 text=True,
             )
-        timer = threading.Timer(START_LIMIT_S, self._process.kill)
+        timer = threading.Timer(START_TIMEOUT_S, self._process.kill)
         timer.start()
-        line = self._process.stdout.readline()
+        first_line = self._process.stdout.readline()
         timer.cancel()
-        if not line.startswith(_PREFIX):
+        if not first_line.startswith(_ADDRESS_PREFIX):
             self.kill()
             raise ChildError(f"{self._arguments[0]} did not start: {self.log[-2000:]}")
-        self._address = line.removeprefix(_PREFIX).strip()
+        self._address = first_line.removeprefix(_ADDRESS_PREFIX).strip()
 
-    def signal(self, number: signal.Signals) -> None:
+    def signal(self, signal_number: signal.Signals) -> None:
         """Send a signal to this process."""
-        os.kill(self.pid, number)
+        os.kill(self.pid, signal_number)
 
     def kill(self) -> None:
-        """End the process with SIGKILL and wait for it."""
+        """Kill the process with SIGKILL and wait for its exit."""
         if self._process is not None:
             self._process.kill()
             self._process.wait()
             self._process.stdout.close()
 
-    def stop(self, limit_s: float = STOP_LIMIT_S) -> int:
-        """Ask the process to end, wait, and return its exit code."""
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
+        """Send SIGTERM, wait for the exit, and return the exit code."""
         if self.is_running:
             self._process.terminate()
-        return self.wait(limit_s)
+        return self.wait(timeout_s)
+
+    def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
+        """Wait for the process to exit and return its exit code.
 
-    def wait(self, limit_s: float = STOP_LIMIT_S) -> int:
-        """Wait for the process to end and return its exit code."""
+        Raises
+        ------
+        ChildError
+            If the process does not exit within ``timeout_s``; it is killed then.
+        """
         try:
-            code = self._process.wait(limit_s)
+            exit_code = self._process.wait(timeout_s)
         except subprocess.TimeoutExpired:
             self.kill()
             raise ChildError(f"{self._arguments[0]} did not stop") from None
         self._process.stdout.close()
-        return code
+        return exit_code
--- a/berylnotch/standins/texts.py
+++ b/berylnotch/standins/texts.py
@@ -1,4 +1,4 @@
-"""Operators' texts for small fleets on loopback."""
+"""Configuration texts for small fleets on loopback."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 @frozen
 class SmallFleet:
-    """What a small fleet's text names, by name and address."""
+    """Content of the configuration text of a small fleet.
+
+    ``routers``, ``engines`` and ``plain`` hold pairs of name and address.
+    """
 
     routers: tuple[tuple[str, str], ...]
     engines: tuple[tuple[str, str], ...]
@@ -26,37 +29,39 @@
 
 
 def small_text(fleet: SmallFleet) -> str:
-    """Return an operators' text with one language and one plain service."""
-    parts = [
+    """Return a configuration text with one language service and one plain service."""
+    sections = [
         "[fleet]\nregion = bengal-east\n"
         f"failure-domains = {', '.join(DOMAINS)}\n"
         f"address-keep = {fleet.address_keep}\n"
     ]
-    parts += _placed("vm", fleet.routers, "")
-    parts += [
+    sections += _sections("vm", fleet.routers, "")
+    sections += [
         f"[organisation {name}]\nrate = {fleet.rate} tokens/s\n"
         f"burst = {fleet.burst} tokens\nshare = 1\n"
         for name in fleet.organisations
     ]
-    parts.append("[service sake-llm]\nkind = language\nmodels = sake-1\nweights = v1\n")
-    parts.append("[service order-desk]\nkind = plain\n")
-    parts += _placed("target", fleet.engines, "service = sake-llm\n")
-    parts += _placed("target", fleet.plain, "service = order-desk\n")
+    sections.append(
+        "[service sake-llm]\nkind = language\nmodels = sake-1\nweights = v1\n"
+    )
+    sections.append("[service order-desk]\nkind = plain\n")
+    sections += _sections("target", fleet.engines, "service = sake-llm\n")
+    sections += _sections("target", fleet.plain, "service = order-desk\n")
     for prefix, service in (
         ("/v1", "sake-llm"),
         ("/orders", "order-desk"),
         ("/stock", "order-desk"),
     ):
-        parts.append(
+        sections.append(
             f"[route {prefix}]\nservice = {service}\ntimeout = {fleet.timeout}\n"
         )
-    parts.append(fleet.extra)
-    return "\n".join(parts)
+    sections.append(fleet.extra)
+    return "\n".join(sections)
 
 
-def _placed(kind: str, items: Iterable[tuple[str, str]], extra: str) -> list[str]:
+def _sections(kind: str, items: Iterable[tuple[str, str]], settings: str) -> list[str]:
     return [
-        f"[{kind} {name}]\n{extra}address = {address}\n"
+        f"[{kind} {name}]\n{settings}address = {address}\n"
         f"failure-domain = {DOMAINS[position % len(DOMAINS)]}\n"
         for position, (name, address) in enumerate(items)
     ]
--- a/tests/test_standins/conftest.py
+++ b/tests/test_standins/conftest.py
@@ -12,22 +12,22 @@
 
 
 @frozen
-class Program:
-    """A stand-in that runs as a process."""
+class StandInProcess:
+    """Process of a stand-in."""
 
     process: subprocess.Popen
     address: str
 
     def call(self, path, body=None, headers=None):
-        """Return status, header fields and body."""
+        """Send a request and return status, header fields and body."""
         data = None if body is None else json.dumps(body).encode()
         url = f"http://{self.address}{path}"
-        ask = request.Request(url, data, headers or {})
+        http_request = request.Request(url, data, headers or {})
         try:
-            with request.urlopen(ask, timeout=20) as answer:
-                return answer.status, answer.headers, answer.read()
-        except error.HTTPError as refusal:
-            return refusal.code, refusal.headers, refusal.read()
+            with request.urlopen(http_request, timeout=20) as response:
+                return response.status, response.headers, response.read()
+        except error.HTTPError as error_response:
+            return error_response.code, error_response.headers, error_response.read()
 
     def json(self, path, body=None):
         return json.loads(self.call(path, body)[2])
@@ -37,15 +37,15 @@
 
 
 @contextlib.contextmanager
-def run_program(module, *args):
+def run_stand_in(module, *args):
     command = [sys.executable, "-m", f"berylnotch.standins.{module}", "--port", "0"]
     process = subprocess.Popen(
         [*command, *args], stdout=subprocess.PIPE, text=True, encoding="utf-8"
     )
     try:
-        line = process.stdout.readline().split()
-        assert line[0] == "listening"
-        yield Program(process, line[1])
+        first_line = process.stdout.readline().split()
+        assert first_line[0] == "listening"
+        yield StandInProcess(process, first_line[1])
         process.terminate()
         assert process.wait(20) == 0
     finally:
@@ -59,23 +59,23 @@
         if condition():
             return
         time.sleep(0.01)
-    raise AssertionError("condition didn't come true in 20 s")
+    raise AssertionError("condition did not become true within 20 s")
 
 
 @pytest.fixture(scope="module")
-def quick_engine():
+def shared_engine():
     args = ("--first-ms", "1", "--piece-ms", "1", "--interval-ms", "1")
-    with run_program("engine", *args, "--load-ms", "50") as program:
-        yield program
+    with run_stand_in("engine", *args, "--load-ms", "50") as stand_in:
+        yield stand_in
 
 
 @pytest.fixture
-def engine(quick_engine):
-    quick_engine.faults()
-    return quick_engine
+def engine(shared_engine):
+    shared_engine.faults()
+    return shared_engine
 
 
 @pytest.fixture(scope="module")
 def desk():
-    with run_program("plain") as program:
-        yield program
+    with run_stand_in("plain") as stand_in:
+        yield stand_in
--- a/tests/test_standins/test_engine.py
+++ b/tests/test_standins/test_engine.py
@@ -5,7 +5,7 @@
 import openai
 import pytest
 
-from .conftest import run_program, wait_until
+from .conftest import run_stand_in, wait_until
 
 CHAT = "/v1/chat/completions"
 BODY = {
@@ -23,26 +23,26 @@
 
 
 def test_openai_client_streams_and_asks_for_whole_answers(client):
-    kwargs = {key: BODY[key] for key in ("model", "messages", "max_tokens")}
-    whole = client.chat.completions.create(**kwargs)
+    arguments = {key: BODY[key] for key in ("model", "messages", "max_tokens")}
+    whole = client.chat.completions.create(**arguments)
     options = {"include_usage": True}
     chunks = list(
-        client.chat.completions.create(**kwargs, stream=True, stream_options=options)
+        client.chat.completions.create(**arguments, stream=True, stream_options=options)
     )
-    text = "".join(c.choices[0].delta.content for c in chunks if c.choices)
+    text = "".join(chunk.choices[0].delta.content for chunk in chunks if chunk.choices)
     assert text == whole.choices[0].message.content
     assert chunks[-1].usage == whole.usage
     assert whole.usage.completion_tokens == 6
-    assert [m.id for m in client.models.list()] == ["sake-1"]
+    assert [model.id for model in client.models.list()] == ["sake-1"]
     with pytest.raises(openai.NotFoundError):
         client.completions.create(model="other", prompt="a")
 
 
 def test_resumed_stream_continues_byte_for_byte(engine):
     whole = engine.call(CHAT, BODY)[2]
-    rest = engine.call(CHAT, BODY, {"x-resume-after": "3"})[2]
-    assert whole.endswith(rest)
-    assert rest.startswith(b"id: 4\n")
+    remainder = engine.call(CHAT, BODY, {"x-resume-after": "3"})[2]
+    assert whole.endswith(remainder)
+    assert remainder.startswith(b"id: 4\n")
     assert whole.count(b"\n\n") == 8
 
 
@@ -78,7 +78,7 @@
 
 
 def test_crash_changes_the_incarnation(engine):
-    before = engine.json("/standin/load")["incarnation"]
+    earlier = engine.json("/standin/load")["incarnation"]
     engine.faults(crash_marker="poison", restart_ms=1)
     poison = {**BODY, "messages": [{"role": "user", "content": "poison"}]}
     with pytest.raises((OSError, http.client.HTTPException)):
@@ -86,7 +86,7 @@
 
     def is_back():
         try:
-            return engine.json("/standin/load")["incarnation"] != before
+            return engine.json("/standin/load")["incarnation"] != earlier
         except OSError:
             return False
 
@@ -114,19 +114,21 @@
 
 
 def test_cache_events_tell_of_new_pieces_once_for_each_scope(engine):
-    before = engine.json("/standin/cache-events")["last"]
+    earlier = engine.json("/standin/cache-events")["last"]
     body = {"model": "sake-1", "prompt": "x" * 2500, "max_tokens": 1}
     for scope in ("a", "a", "b"):
         engine.call("/v1/completions", body, {"x-cache-scope": scope})
-    events = engine.json(f"/standin/cache-events?after={before}")["events"]
-    assert [e["kind"] for e in events] == ["stored"] * 4
-    assert [e["sequence"] for e in events] == list(range(before + 1, before + 5))
+    events = engine.json(f"/standin/cache-events?after={earlier}")["events"]
+    assert [event["kind"] for event in events] == ["stored"] * 4
+    assert [event["sequence"] for event in events] == list(
+        range(earlier + 1, earlier + 5)
+    )
 
 
 def test_credential_is_required_and_seen_headers_recorded():
-    with run_program("engine", "--credential", "T", "--first-ms", "0") as engine:
+    with run_stand_in("engine", "--credential", "T", "--first-ms", "0") as engine:
         assert engine.call(CHAT, BODY)[0] == 401
         headers = {"authorization": "Bearer T", "x-priority": "2"}
         assert engine.call("/v1/models", headers=headers)[0] == 200
-        seen = engine.call("/standin/seen", headers=headers)[2]
-        assert b'"x-priority": "2"' in seen
+        recorded = engine.call("/standin/seen", headers=headers)[2]
+        assert b'"x-priority": "2"' in recorded
--- a/tests/test_standins/test_plain.py
+++ b/tests/test_standins/test_plain.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .conftest import run_program, wait_until
+from .conftest import run_stand_in, wait_until
 
 
 def test_each_run_of_an_order_is_counted(desk):
@@ -28,9 +28,9 @@
 
 
 def test_vm_list_is_replaced():
-    with run_program("vmlist", "--vm", "a=127.0.0.1") as program:
-        (vm,) = program.json("/vms")["vms"]
+    with run_stand_in("vmlist", "--vm", "a=127.0.0.1") as stand_in:
+        (vm,) = stand_in.json("/vms")["vms"]
         assert vm == {"name": "a", "address": "127.0.0.1", "state": "live"}
         vm["state"] = "leaving"
-        program.call("/standin/vms", {"vms": [vm]})
-        wait_until(lambda: program.json("/vms")["vms"] == [vm])
+        stand_in.call("/standin/vms", {"vms": [vm]})
+        wait_until(lambda: stand_in.json("/vms")["vms"] == [vm])
