--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Texts of fleets, settings of processes, and programs that use parts."""
+"""Example configurations, settings files, and programs that use the libraries."""
--- a/examples/limiter.py
+++ b/examples/limiter.py
@@ -1,8 +1,8 @@
-"""Limit a program's own customers with the limiter, in one process.
+"""Example that applies the rate limiter to a program's own customers, in one process.
 
-Two workers charge one customer's tokens. The owner lends them out of one
-bucket, so that both together stay within the customer's rate and burst. Time
-is an argument of every call; here it is counted and does not pass.
+Two workers charge the tokens of one customer. The owner grants both workers tokens from
+one token bucket, so that together they stay within the customer's rate and burst. Time
+is an argument of every call; the example advances it without waiting.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 
 from berylnotch.quota import GrantRequest, LocalQuota, QuotaOwner, QuotaSettings
 
-#: Customer that both workers serve.
+#: Customer of both workers.
 CUSTOMER = "label-clerks"
-#: Tokens of one piece of work.
+#: Cost of a unit of work, in tokens.
 COST = 100
 
 
 @frozen
 class CustomerLimit:
-    """Limit of a customer; any object with these attributes will do.
+    """Rate limit of a customer; any object with these attributes is accepted.
 
     Parameters
     ----------
     rate : float
-        Tokens a second.
+        Tokens per second.
     burst : float
-        Most tokens at once.
+        Maximum number of tokens charged at once.
     share : float, default=1.0
-        Weight against other customers.
+        Weight of the customer relative to other customers.
     """
 
     rate: float
@@ -37,14 +37,14 @@
 
 
 class Worker:
-    """A worker with its own part of the tokens.
+    """Worker that charges tokens granted to it.
 
     Parameters
     ----------
     name : str
-        Name of the worker, unique.
+        Unique name of the worker.
     settings : QuotaSettings
-        Settings that it shares with the owner.
+        Quota settings; the owner uses the same.
     """
 
     def __init__(self, name: str, settings: QuotaSettings) -> None:
@@ -55,7 +55,7 @@
     def exchange(
         self, now: float, owner: QuotaOwner, limits: dict[str, CustomerLimit]
     ) -> None:
-        """Ask the owner for tokens; in a real program, over a connection."""
+        """Request tokens from the owner; a real program does this over a connection."""
         asks = self._quota.asks(now)
         request = GrantRequest(
             vm=self._name,
@@ -69,7 +69,13 @@
         self._quota.receive(now, owner.grant(now, request, limits))
 
     def work(self, now: float, waiting: int) -> int:
-        """Do as much of the waiting work as is paid for; return what is left."""
+        """Do the queued work that the granted tokens cover.
+
+        Returns
+        -------
+        int
+            Units of work that remain queued.
+        """
         while waiting and self._quota.charge(now, CUSTOMER, COST):
             self.done += 1
             waiting -= 1
@@ -78,7 +84,7 @@
 
 
 def run(seconds: float) -> int:
-    """Let two workers do what they can; return how many pieces were done."""
+    """Run two workers for ``seconds`` and return the units of work done."""
     settings = QuotaSettings()
     owner = QuotaOwner(settings, term=1, now=0.0)
     limits = {CUSTOMER: CustomerLimit(rate=1000.0, burst=2000.0)}
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: real processes, faults from outside, promises checked while it runs."""
+"""Soak test that injects faults into real processes and checks their guarantees."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the soak: ``python -m soak --seeds 50``."""
+"""Command line of the soak test: ``python -m soak --seeds 50``."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the seeds, print a line for each, and return 1 if a promise broke."""
+    """Run all seeds, print a line for each, and return 1 if a guarantee is violated."""
     args = get_parser().parse_args(argv)
     faults: Counter[str] = Counter()
     failed = []
@@ -30,14 +30,14 @@
         report = Soak(seed, args.seconds, args.routers, args.controllers).run()
         recovered_ms = report.faults.pop("recovered_ms", -1)
         faults.update(report.faults)
-        outcome = "broken" if report.breaks else "kept"
+        verdict = "broken" if report.breaks else "kept"
         print(
-            f"seed={seed} outcome={outcome} answers={report.answers} "
+            f"seed={seed} outcome={verdict} answers={report.answers} "
             f"served={report.served} recovered_ms={recovered_ms}",
             flush=True,
         )
-        for what in report.breaks[:10]:
-            print(f"  {what}; logs in {report.folder}", flush=True)
+        for violation in report.breaks[:10]:
+            print(f"  {violation}; logs in {report.folder}", flush=True)
         if report.breaks:
             failed.append(seed)
     print(f"faults {dict(faults)}; failed seeds {failed or 'none'}")
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""What a soak saw, and the promises that it must keep."""
+"""Checks of the guarantees that must hold during a soak test."""
 
 from __future__ import annotations
 
@@ -11,8 +11,12 @@
 
 
 @define
-class Seen:
-    """Answers of callers and operators, with what they mean for the promises."""
+class Observations:
+    """Answers to callers and operators, and the violated guarantees.
+
+    ``refused`` holds the requests with an answer of status 429 or 503, ``booked`` the
+    sent booking requests, and ``breaks`` a message for each violation.
+    """
 
     answers: int = 0
     served: int = 0
@@ -22,8 +26,10 @@
     breaks: list[str] = field(factory=list)
     _lock: threading.Lock = field(factory=threading.Lock)
 
-    def caller(self, request_id: str, kind: str, answer: Answer | None) -> None:
-        """Check one answer to a caller."""
+    def record_caller_answer(
+        self, request_id: str, kind: str, answer: Answer | None
+    ) -> None:
+        """Record the answer to a caller's request and check its body."""
         with self._lock:
             self.answers += 1
             if kind == "book":
@@ -36,43 +42,57 @@
                 self.served += 1
                 self._check_body(request_id, kind, answer.body)
 
-    def acked(self, version: int) -> None:
-        """Note that a configuration was acknowledged."""
+    def record_acked_version(self, version: int) -> None:
+        """Record the version of an acknowledged configuration."""
         with self._lock:
             self.acked_version = max(self.acked_version, version)
 
-    def read_back(self, acked_before: int, answer: Answer | None) -> None:
-        """Check a read of the configuration against what was acknowledged before."""
+    def check_configuration_read(
+        self, earlier_acked_version: int, answer: Answer | None
+    ) -> None:
+        """Check that a read returns no version older than the last acknowledged one."""
         if answer is None or answer.status != 200:
             return
         version = json.loads(answer.body)["version"]
-        if version < acked_before:
-            self.fail(f"read version {version} after {acked_before} was acknowledged")
+        if version < earlier_acked_version:
+            self.record_violation(
+                f"read version {version} after {earlier_acked_version} was acknowledged"
+            )
+
+    def check_targets(self, targets) -> None:
+        """Check the requests that the targets received and ran.
 
-    def targets(self, targets) -> None:
-        """Check what the targets ran."""
-        runs = [run for target in targets for run in target.runs]
+        A booking request runs at most once, a refused booking request does not run,
+        and no target receives a caller's key.
+        """
+        executed = [request_id for target in targets for request_id in target.runs]
         for request_id in self.booked:
-            if runs.count(request_id) > 1:
-                self.fail(f"{request_id} ran {runs.count(request_id)} times")
+            if executed.count(request_id) > 1:
+                self.record_violation(
+                    f"{request_id} ran {executed.count(request_id)} times"
+                )
         for request_id in self.refused:
-            if request_id in self.booked and request_id in runs:
-                self.fail(f"{request_id} was refused as not run, and ran")
+            if request_id in self.booked and request_id in executed:
+                self.record_violation(
+                    f"{request_id} was refused as not run, but a target ran it"
+                )
         for target in targets:
             if any("authorization" in headers for headers in target.seen):
-                self.fail(f"{target.target_id} saw a key")
+                self.record_violation(f"{target.target_id} received a caller's key")
 
-    def fail(self, what: str) -> None:
-        """Note a broken promise."""
-        self.breaks.append(what)
+    def record_violation(self, violation: str) -> None:
+        """Record the violation of a guarantee."""
+        self.breaks.append(violation)
 
     def _check_body(self, request_id: str, kind: str, body: bytes) -> None:
         if kind == "chat":
             count = body.count(b"\n\n")
-            pieces = [
+            expected_events = [
                 b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, count + 1)
             ]
-            if body != b"".join(pieces) or count == 0:
-                self.breaks.append(f"{request_id}: stream is not in order")
+            if body != b"".join(expected_events) or count == 0:
+                self.breaks.append(
+                    f"{request_id}: stream has missing, repeated or reordered events"
+                )
         elif body != b"answer to " + request_id.encode():
             self.breaks.append(f"{request_id}: got {body[:60]!r}")
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy that delays, resets, cuts one way or silences connections."""
+"""Loopback proxy that delays, resets or drops the traffic of connections."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 from berylnotch.util.address import Address
 from berylnotch.util.loop import Loop
 
-#: What a proxy does to the bytes; ``ok`` passes them on.
-#: ``one_way`` drops what the target sends, ``deaf`` what is sent to it.
+#: Fault modes of a proxy. ``ok`` forwards all bytes, ``delay`` forwards them late,
+#: ``reset`` closes connections, ``one_way`` drops the bytes from the target, ``deaf``
+#: the bytes to it, and ``silence`` both.
 MODES = ("ok", "delay", "reset", "one_way", "deaf", "silence")
 
-#: Delay of each piece in the mode ``delay``, in seconds.
+#: Delay of each chunk of data in mode ``delay``, in seconds.
 DELAY_S = 0.15
 
-#: Longest wait for the target to accept, in seconds.
-CONNECT_S = 1.0
+#: Time-out for connecting to the target, in seconds.
+CONNECT_TIMEOUT_S = 1.0
 
 _READ_BYTES = 64 * 1024
 
 
 class FaultProxy:
-    """Passes connections on to one address, with a fault that can change.
+    """Forwards connections to one address, with a fault mode that can change.
 
     Parameters
     ----------
     loop : Loop
         Loop that serves the sockets.
     target : Address
-        Where connections are passed on to.
+        Address that connections are forwarded to.
     listen : Address, optional
-        Where they are accepted; any port of 127.0.0.1 by default.
+        Address that connections are accepted at; any port of 127.0.0.1 by default.
     """
 
     def __init__(
@@ -46,48 +47,50 @@
 
     @property
     def address(self) -> Address:
-        """Where to connect instead of the target."""
+        """Address to connect to instead of the target."""
         return self._acceptor.address
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self._acceptor.start()
 
     def close(self) -> None:
-        """Accept no more, and end what is open."""
+        """Stop accepting connections and close the open ones."""
         self._acceptor.close()
         for pair in tuple(self._pairs):
-            self._end(pair)
+            self._close_pair(pair)
 
     def set_mode(self, mode: str) -> None:
-        """Change the fault; ``reset`` also ends what is open."""
+        """Set the fault mode; ``reset`` also closes the open connections."""
         self.mode = mode
         if mode == "reset":
             for pair in tuple(self._pairs):
-                self._end(pair)
+                self._close_pair(pair)
 
-    def _accept(self, sock: socket.socket) -> None:
+    def _accept(self, client_socket: socket.socket) -> None:
         if self.mode == "reset":
-            sock.close()
+            client_socket.close()
             return
         try:
-            other = socket.create_connection(self._target.pair, timeout=CONNECT_S)
+            target_socket = socket.create_connection(
+                self._target.pair, timeout=CONNECT_TIMEOUT_S
+            )
         except OSError:
-            sock.close()
+            client_socket.close()
             return
-        other.setblocking(False)
-        pair = (sock, other)
+        target_socket.setblocking(False)
+        pair = (client_socket, target_socket)
         self._pairs.add(pair)
-        self._watch(pair, sock, other, is_answer=False)
-        self._watch(pair, other, sock, is_answer=True)
+        self._watch(pair, client_socket, target_socket, is_answer=False)
+        self._watch(pair, target_socket, client_socket, is_answer=True)
 
     def _watch(self, pair, source, sink, is_answer) -> None:
-        def ready(_events: int) -> None:
-            self._move(pair, source, sink, is_answer)
+        def on_readable(_events: int) -> None:
+            self._forward(pair, source, sink, is_answer)
 
-        self._loop.watch(source, selectors.EVENT_READ, ready)
+        self._loop.watch(source, selectors.EVENT_READ, on_readable)
 
-    def _move(self, pair, source, sink, is_answer) -> None:
+    def _forward(self, pair, source, sink, is_answer) -> None:
         if pair not in self._pairs:
             return
         try:
@@ -97,20 +100,20 @@
         except OSError:
             data = b""
         if not data:
-            self._end(pair)
-        elif self._drops(is_answer):
+            self._close_pair(pair)
+        elif self._is_dropping(is_answer):
             return
         elif self.mode == "delay":
-            self._loop.call_later(DELAY_S, lambda: self._send(pair, sink, data))
+            self._loop.call_later(DELAY_S, lambda: self._send_to_sink(pair, sink, data))
         else:
-            self._send(pair, sink, data)
+            self._send_to_sink(pair, sink, data)
 
-    def _drops(self, is_answer: bool) -> bool:
+    def _is_dropping(self, is_answer: bool) -> bool:
         return self.mode == "silence" or self.mode == (
             "one_way" if is_answer else "deaf"
         )
 
-    def _send(self, pair, sink, data) -> None:
+    def _send_to_sink(self, pair, sink, data) -> None:
         if pair not in self._pairs:
             return
         try:
@@ -119,9 +122,9 @@
             sink.sendall(data)
             sink.setblocking(False)
         except OSError:
-            self._end(pair)
+            self._close_pair(pair)
 
-    def _end(self, pair) -> None:
+    def _close_pair(self, pair) -> None:
         self._pairs.discard(pair)
         for sock in pair:
             self._loop.watch(sock, 0, lambda _events: None)
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run of the soak: callers, an operator and faults, then recovery."""
+"""Seeded run of the soak test: callers, an operator and faults, then recovery."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 from attrs import define, field
 
-from soak.checks import Seen
+from soak.checks import Observations
 from soak.proxy import MODES, FaultProxy
 from tests.fleet.platform import PlatformStandIn
 from tests.fleet.processes import FleetOfProcesses, configuration, until
 
-#: Seconds after the last fault in which the fleet must serve again: the bound of the
-#: users' deployments.
+#: Time after the last fault within which the fleet must serve again, in seconds. This
+#: is the bound of the users' deployments.
 RECOVERY_S = 12.0
 
-#: Seconds in which a process ends after SIGTERM, at the most.
-STOP_S = 8.0
+#: Maximum time in which a process exits after SIGTERM, in seconds.
+STOP_TIMEOUT_S = 8.0
 
-#: Moods of targets that a soak brings about.
+#: Fault modes of targets that a soak test sets.
 MOODS = ("refuse", "error", "hang", "reset", "cut", "no_stamp", "foreign")
 
-#: Longest wait for the proxies to close, in seconds.
-CLOSE_S = 2.0
+#: Maximum wait for the proxies to close, in seconds.
+CLOSE_TIMEOUT_S = 2.0
 
-#: Seconds between two faults, and the longest that one lasts.
-PAUSE_S, LONGEST_S = 0.6, 2.5
+#: Maximum pause between two faults and maximum duration of a fault, in seconds.
+MAX_PAUSE_S, MAX_FAULT_S = 0.6, 2.5
 
 
 @define
 class Report:
-    """Result of one run."""
+    """Result of a run."""
 
     seed: int
     answers: int
@@ -50,18 +50,18 @@
 
 
 class Soak:
-    """A run with one seed.
+    """Run of the soak test with one seed.
 
     Parameters
     ----------
     seed : int
-        Decides all faults and requests.
+        Seed of the random choice of faults and requests.
     seconds : float
-        Length of the time with faults.
+        Time during which faults are injected, in seconds.
     routers : int, default=2
-        Routers; two engines and two plain targets come with them.
+        Number of routers; the fleet also has two engines and two plain targets.
     controllers : int, default=3
-        Controllers, each with a proxy before its links.
+        Number of controllers, each with a proxy in front of its link port.
     """
 
     def __init__(
@@ -74,37 +74,42 @@
         self._fleet = FleetOfProcesses(self._folder, self._platform)
         self._routers = routers
         self._controllers = controllers
-        self._is_wiped = False
-        self._proxies: dict[str, FaultProxy] = {}
-        self._links: list[FaultProxy] = []
-        self._seen = Seen()
+        self._has_lost_disk = False
+        self._target_proxies: dict[str, FaultProxy] = {}
+        self._link_proxies: list[FaultProxy] = []
+        self._observations = Observations()
         self._report = Report(seed, 0, 0, folder=self._folder)
-        self._is_over = threading.Event()
+        self._is_stopping = threading.Event()
         self._version = 1
-        self._ends: list[tuple[float, object]] = []
+        self._pending_undos: list[tuple[float, object]] = []
 
     def run(self) -> Report:
-        """Play the run; end only what it started."""
+        """Run the fleet with faults, check its recovery, and return the report.
+
+        Only processes that the run started are stopped.
+        """
         self._platform.start()
         try:
             self._start()
             workers = [
-                threading.Thread(target=self._call, args=(n, self._rng.random()))
+                threading.Thread(
+                    target=self._send_requests, args=(n, self._rng.random())
+                )
                 for n in range(4)
             ]
-            workers.append(threading.Thread(target=self._operate))
+            workers.append(threading.Thread(target=self._change_configuration))
             for worker in workers:
                 worker.start()
-            self._disturb()
-            self._is_over.set()
+            self._inject_faults()
+            self._is_stopping.set()
             for worker in workers:
                 worker.join()
             self._recover()
-            self._seen.targets(self._platform.targets.values())
+            self._observations.check_targets(self._platform.targets.values())
         except AssertionError as error:
-            self._seen.fail(str(error))
+            self._observations.record_violation(str(error))
         finally:
-            self._is_over.set()
+            self._is_stopping.set()
             self._fleet.close()
             self._close_proxies()
             self._platform.close()
@@ -112,23 +117,23 @@
 
     def _start(self) -> None:
         for number in (1, 2):
-            self._add(f"llm-{number}", "llm", 1)
-            self._add(f"desk-{number}", "desk", None)
+            self._add_target(f"llm-{number}", "llm", 1)
+            self._add_target(f"desk-{number}", "desk", None)
         self._fleet.has_link_proxies = True
         self._fleet.start(self._controllers, self._routers)
         for controller in self._fleet.controllers:
             self._add_link_proxy(controller)
         assert self._fleet.put(configuration(self._version)).status == 200
-        self._seen.acked(self._version)
+        self._observations.record_acked_version(self._version)
         self._fleet.wait_ready()
 
-    def _add(self, name: str, service: str, version: int | None) -> None:
+    def _add_target(self, name: str, service: str, version: int | None) -> None:
         target = self._platform.add(name, service, version)
         target.events = 4
         target.event_pause_s = 0.02
         loop = self._platform.loop
         proxy = FaultProxy(loop, target.server.address)
-        self._proxies[name] = proxy
+        self._target_proxies[name] = proxy
         loop.call_soon(proxy.start)
         target.listed_address = str(proxy.address)
 
@@ -136,25 +141,25 @@
         done = threading.Event()
 
         def close() -> None:
-            for proxy in (*self._proxies.values(), *self._links):
+            for proxy in (*self._target_proxies.values(), *self._link_proxies):
                 proxy.close()
             done.set()
 
         self._platform.loop.call_soon(close)
-        done.wait(timeout=CLOSE_S)
+        done.wait(timeout=CLOSE_TIMEOUT_S)
 
     def _add_link_proxy(self, controller) -> None:
         listen = self._fleet.links_address(controller.ip)
-        behind = self._fleet.links_address(controller.ip, is_own=True)
-        proxy = FaultProxy(self._platform.loop, behind, listen)
-        self._links.append(proxy)
+        controller_address = self._fleet.links_address(controller.ip, is_own=True)
+        proxy = FaultProxy(self._platform.loop, controller_address, listen)
+        self._link_proxies.append(proxy)
         self._platform.loop.call_soon(proxy.start)
 
-    # Callers and the operator.
+    # Load: callers and the operator.
 
-    def _call(self, worker: int, draw: float) -> None:
-        rng, number = random.Random(draw), 0
-        while not self._is_over.is_set():
+    def _send_requests(self, worker: int, seed: float) -> None:
+        rng, number = random.Random(seed), 0
+        while not self._is_stopping.is_set():
             number += 1
             kind = rng.choice(("chat", "book", "read"))
             request_id = f"{kind}-{worker}-{number}"
@@ -163,35 +168,37 @@
             answer = self._fleet.ask(
                 router, f"/{kind}/x", request_id, method, deadline_ms="1500"
             )
-            self._seen.caller(request_id, kind, answer)
+            self._observations.record_caller_answer(request_id, kind, answer)
             time.sleep(rng.uniform(0.01, 0.05))
 
-    def _operate(self) -> None:
+    def _change_configuration(self) -> None:
         rng = random.Random(self._report.seed + 1)
-        while not self._is_over.is_set():
-            before = self._seen.acked_version
-            self._seen.read_back(before, self._fleet.operator("GET", "/config"))
+        while not self._is_stopping.is_set():
+            acked_version = self._observations.acked_version
+            self._observations.check_configuration_read(
+                acked_version, self._fleet.operator("GET", "/config")
+            )
             version = self._version + rng.randint(1, 3)
             body = json.dumps(configuration(version, timeoutMs=4000 + version))
             answer = self._fleet.operator("PUT", "/config", body.encode())
             if answer is not None and answer.status == 200:
                 self._version = version
-                self._seen.acked(version)
+                self._observations.record_acked_version(version)
             time.sleep(rng.uniform(0.1, 0.4))
 
     # Faults.
 
-    def _disturb(self) -> None:
+    def _inject_faults(self) -> None:
         started = time.monotonic()
         while time.monotonic() - started < self._seconds:
-            fault = self._rng.choice(self._faults())
+            fault = self._rng.choice(self._available_faults())
             self._report.faults[fault.__name__.strip("_")] += 1
             fault()
-            time.sleep(self._rng.uniform(0.1, PAUSE_S))
-            self._end_due(time.monotonic())
-        self._end_due(float("inf"))
+            time.sleep(self._rng.uniform(0.1, MAX_PAUSE_S))
+            self._undo_due_faults(time.monotonic())
+        self._undo_due_faults(float("inf"))
 
-    def _faults(self) -> list:
+    def _available_faults(self) -> list:
         faults = [
             self._kill,
             self._freeze,
@@ -200,90 +207,98 @@
             self._links_cut,
             self._mood,
         ]
-        return faults if self._is_wiped else [*faults, self._wipe]
+        return faults if self._has_lost_disk else [*faults, self._wipe]
 
-    def _later(self, undo) -> None:
-        self._ends.append((time.monotonic() + self._rng.uniform(0.2, LONGEST_S), undo))
+    def _schedule_undo(self, undo) -> None:
+        self._pending_undos.append(
+            (time.monotonic() + self._rng.uniform(0.2, MAX_FAULT_S), undo)
+        )
 
-    def _end_due(self, now: float) -> None:
-        due = [end for end in self._ends if end[0] <= now]
-        self._ends = [end for end in self._ends if end[0] > now]
+    def _undo_due_faults(self, now: float) -> None:
+        due = [pending for pending in self._pending_undos if pending[0] <= now]
+        self._pending_undos = [
+            pending for pending in self._pending_undos if pending[0] > now
+        ]
         for _, undo in due:
             undo()
 
-    def _process(self):
+    def _choose_process(self):
         processes = [*self._fleet.controllers, *self._fleet.routers]
         return self._rng.choice(processes)
 
     def _kill(self) -> None:
-        process = self._process()
+        process = self._choose_process()
         if process.process.poll() is None:
             process.kill()
-            self._later(lambda: self._restart(process))
+            self._schedule_undo(lambda: self._restart(process))
 
     def _restart(self, process) -> None:
         if process.process.poll() is not None:
             process.start()
 
     def _freeze(self) -> None:
-        process = self._process()
+        process = self._choose_process()
         process.signal(signal.SIGSTOP)
-        self._later(lambda: process.signal(signal.SIGCONT))
+        self._schedule_undo(lambda: process.signal(signal.SIGCONT))
 
     def _stop(self) -> None:
-        process = self._process()
+        process = self._choose_process()
         stopped = process.process
         if stopped.poll() is None:
             process.signal(signal.SIGTERM)
-            self._later(lambda: self._ended(process, stopped))
+            self._schedule_undo(lambda: self._await_exit(process, stopped))
 
-    def _ended(self, process, stopped: subprocess.Popen) -> None:
-        # Another fault may have ended and restarted it meanwhile.
+    def _await_exit(self, process, stopped: subprocess.Popen) -> None:
+        # Another fault may have stopped and restarted the process in the meantime.
         if process.process is stopped:
             process.signal(signal.SIGCONT)
             try:
-                stopped.wait(timeout=STOP_S)
+                stopped.wait(timeout=STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
-                self._seen.fail(f"{process.name} did not stop within {STOP_S:g} s")
+                self._observations.record_violation(
+                    f"{process.name} did not stop within {STOP_TIMEOUT_S:g} s"
+                )
                 process.kill()
         self._restart(process)
 
     def _wipe(self) -> None:
-        """Let a controller lose its disk; a group of three bears that once."""
-        self._is_wiped = True
+        """Delete the disk of a controller; a group of three tolerates one such loss."""
+        self._has_lost_disk = True
         controller = self._rng.choice(self._fleet.controllers)
         controller.kill()
         shutil.rmtree(controller.data, ignore_errors=True)
-        text = controller.settings.read_text()
+        settings_text = controller.settings.read_text()
         controller.settings.write_text(
-            text.replace("founds-group = true", "founds-group = no")
+            settings_text.replace("founds-group = true", "founds-group = no")
         )
-        self._later(lambda: self._restart(controller))
+        self._schedule_undo(lambda: self._restart(controller))
 
     def _proxy(self) -> None:
-        self._disturb_proxy(self._rng.choice(list(self._proxies.values())))
+        self._inject_proxy_fault(self._rng.choice(list(self._target_proxies.values())))
 
     def _links_cut(self) -> None:
         """Disturb the links of routers and other controllers to one controller."""
-        self._disturb_proxy(self._rng.choice(self._links))
+        self._inject_proxy_fault(self._rng.choice(self._link_proxies))
 
-    def _disturb_proxy(self, proxy: FaultProxy) -> None:
-        self._set(proxy, self._rng.choice([mode for mode in MODES if mode != "ok"]))
-        self._later(lambda: self._set(proxy, "ok"))
+    def _inject_proxy_fault(self, proxy: FaultProxy) -> None:
+        self._set_mode(
+            proxy, self._rng.choice([mode for mode in MODES if mode != "ok"])
+        )
+        self._schedule_undo(lambda: self._set_mode(proxy, "ok"))
 
-    def _set(self, proxy: FaultProxy, mode: str) -> None:
+    def _set_mode(self, proxy: FaultProxy, mode: str) -> None:
         self._platform.loop.call_soon(lambda: proxy.set_mode(mode))
 
     def _mood(self) -> None:
         target = self._rng.choice(list(self._platform.targets.values()))
         target.mood = self._rng.choice(MOODS)
 
-        def calm() -> None:
+        def restore() -> None:
             target.mood = "ok"
 
-        self._later(calm)
+        self._schedule_undo(restore)
 
-    # The end.
+    # Recovery and report.
 
     def _recover(self) -> None:
         for target in self._platform.targets.values():
@@ -292,24 +307,31 @@
             self._restart(process)
         started = time.monotonic()
         for router in self._fleet.routers:
-            until(lambda r=router: self._serves(r), f"{router.name} serves", RECOVERY_S)
-        before = self._seen.acked_version
-        held = until(
+            until(
+                lambda r=router: self._is_serving(r),
+                f"{router.name} serves",
+                RECOVERY_S,
+            )
+        acked_version = self._observations.acked_version
+        configuration_answer = until(
             lambda: self._fleet.operator("GET", "/config"), "the configuration"
         )
-        self._seen.read_back(before, held)
+        self._observations.check_configuration_read(acked_version, configuration_answer)
         self._report.faults["recovered_ms"] = int((time.monotonic() - started) * 1000)
 
-    def _serves(self, router) -> bool:
+    def _is_serving(self, router) -> bool:
         answer = self._fleet.ask(router, "/book/x", f"after-{time.monotonic()}")
         return answer is not None and answer.status == 200
 
     def _finish(self) -> Report:
         report = self._report
-        report.answers, report.served = self._seen.answers, self._seen.served
-        report.breaks = list(self._seen.breaks)
+        report.answers, report.served = (
+            self._observations.answers,
+            self._observations.served,
+        )
+        report.breaks = list(self._observations.breaks)
         if report.served == 0:
-            report.breaks.append("nothing was served")
+            report.breaks.append("no request was served")
         if not report.breaks:
             shutil.rmtree(self._folder, ignore_errors=True)
             report.folder = None
--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,3 +1,3 @@
-"""Small specifications of the protocols, checked exhaustively within bounds."""
+"""Formal models of the protocols, checked exhaustively within bounds."""
 
 from __future__ import annotations
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -1,10 +1,11 @@
 """Model of claims: a request that is not idempotent runs at most once.
 
-Bounds: two routers, one idempotency key, which the caller sends up to
-``SENDS`` times to any router. Proposals are reordered, repeated, and lost by a
-change of the leader; committed ones survive that and a snapshot, which the
-model of replication shows. A router may stop at any step: as frozen, it goes on
-later; as crashed, it forgets all, and the controllers may take either for lost.
+Bounds: two routers and one idempotency key. The caller sends the request up to
+``SENDS`` times, each time to any router. Proposals are reordered, repeated, and lost
+when the leader changes. Committed proposals survive a leader change and a snapshot;
+the replication model shows this. A router may stop at any step: a frozen router
+continues later, a crashed router loses its state. The controllers may declare either
+router lost.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from minicheck import Protocol
 
-#: How often the caller sends its request.
+#: Number of times that the caller sends its request.
 SENDS = 3
 
 #: Number of routers.
@@ -22,7 +23,7 @@
 
 
 class Mutation(Enum):
-    """A seeded fault of the protocol."""
+    """Seeded protocol fault; each must give a counterexample."""
 
     NONE = "none"
     CLAIM_NOT_AGREED = "sent before the claim was committed"
@@ -31,7 +32,7 @@
 
 
 class Phase(Enum):
-    """What a router does with the request."""
+    """Phase of a router's attempt to run the request."""
 
     IDLE = "idle"
     PROPOSING = "proposing"
@@ -41,28 +42,28 @@
 
 
 class Claim(NamedTuple):
-    """The claim in the replicated state; ``attempt`` 0 if there is none."""
+    """Claim in the replicated state; ``attempt`` is 0 if there is no claim."""
 
     state: str = "none"
     attempt: int = 0
 
 
 class Router(NamedTuple):
-    """A router and the attempt that it makes."""
+    """State of a router and the number of its attempt."""
 
     phase: Phase = Phase.IDLE
     attempt: int = 0
 
 
 class Proposal(NamedTuple):
-    """A proposal that is not committed yet."""
+    """Uncommitted proposal."""
 
     attempt: int
     state: str
 
 
 class State(NamedTuple):
-    """The whole system; ``runs`` counts how often a target ran the request."""
+    """State of the system; ``runs`` is how often targets have run the request."""
 
     claim: Claim
     proposals: frozenset[Proposal]
@@ -72,43 +73,45 @@
 
 
 def claims(mutation: Mutation = Mutation.NONE) -> Protocol:
-    """Return the model, with a fault if asked for."""
+    """Return the model, with a seeded fault if ``mutation`` is not ``NONE``."""
     initial = State(Claim(), frozenset(), (Router(),) * ROUTERS, 0, 0)
     return Protocol(
         name="claims",
         candidate=False,
         fields=State._fields,
         initial=initial,
-        transitions=lambda s: _transitions(State(*s), mutation),
-        invariants={"at_most_one_run": lambda d: d["runs"] <= 1},
+        transitions=lambda values: _transitions(State(*values), mutation),
+        invariants={"at_most_one_run": lambda values: values["runs"] <= 1},
     )
 
 
 def _transitions(state: State, mutation: Mutation) -> list[tuple[str, State]]:
-    found = list(_control_steps(state, mutation))
+    steps = list(_controller_steps(state, mutation))
     for number, router in enumerate(state.routers):
-        for label, after in _router_steps(state, number, router, mutation):
-            found.append((f"router {number}: {label}", after))
-    return found
+        for label, next_state in _router_steps(state, number, router, mutation):
+            steps.append((f"router {number}: {label}", next_state))
+    return steps
 
 
-def _control_steps(state: State, mutation: Mutation):
+def _controller_steps(state: State, mutation: Mutation):
     for proposal in state.proposals:
-        left = state.proposals - {proposal}
+        remaining = state.proposals - {proposal}
         claim = _apply(state.claim, proposal)
-        yield f"commit {proposal}", state._replace(claim=claim, proposals=left)
+        yield f"commit {proposal}", state._replace(claim=claim, proposals=remaining)
         yield f"commit {proposal}, repeated", state._replace(claim=claim)
-        yield f"lose {proposal}", state._replace(proposals=left)
+        yield f"lose {proposal}", state._replace(proposals=remaining)
     if state.claim.state == "running":
-        lost = "not-run" if mutation is Mutation.REOPENED_AFTER_LOSS else "unknown"
-        claim = state.claim._replace(state=lost)
+        claim_state = (
+            "not-run" if mutation is Mutation.REOPENED_AFTER_LOSS else "unknown"
+        )
+        claim = state.claim._replace(state=claim_state)
         yield "router taken for lost", state._replace(claim=claim)
         if mutation is Mutation.RUNNING_FORGOTTEN:
             yield "claim expires", state._replace(claim=Claim())
 
 
 def _apply(claim: Claim, proposal: Proposal) -> Claim:
-    """Apply a committed proposal, as the ledger does."""
+    """Return the claim after a proposal is committed, by the rules of the ledger."""
     if proposal.state == "running":
         may_reopen = claim.state == "not-run" and claim.attempt != proposal.attempt
         if claim.state == "none" or may_reopen:
@@ -122,53 +125,53 @@
 
 def _router_steps(state: State, number: int, router: Router, mutation: Mutation):
     if router.phase is not Phase.IDLE:
-        yield "crash", _put(state, number, Router())
+        yield "crash", _with_router(state, number, Router())
     if router.phase is Phase.IDLE and state.attempts < SENDS:
-        yield "request arrives", _begin(state, number)
+        yield "request arrives", _start_attempt(state, number)
     elif router.phase is Phase.PROPOSING:
-        yield from _while_proposing(state, number, router, mutation)
+        yield from _proposing_steps(state, number, router, mutation)
     elif router.phase is Phase.GRANTED:
         yield "send", _send(state, number, router)
-        yield "connection refused", _close(state, number, router, "not-run")
+        yield "connection refused", _propose_outcome(state, number, router, "not-run")
     elif router.phase is Phase.SENT:
-        yield "answer", _close(state, number, router, "done")
-        yield "answer lost", _close(state, number, router, "unknown")
+        yield "answer", _propose_outcome(state, number, router, "done")
+        yield "answer lost", _propose_outcome(state, number, router, "unknown")
     elif router.phase is Phase.CLOSING:
-        yield "answer the caller", _put(state, number, Router())
+        yield "answer the caller", _with_router(state, number, Router())
 
 
-def _while_proposing(state: State, number: int, router: Router, mutation: Mutation):
+def _proposing_steps(state: State, number: int, router: Router, mutation: Mutation):
     proposal = Proposal(router.attempt, "running")
     yield "propose again", state._replace(proposals=state.proposals | {proposal})
-    own = state.claim == Claim("running", router.attempt)
-    if own:
+    is_granted = state.claim == Claim("running", router.attempt)
+    if is_granted:
         granted = router._replace(phase=Phase.GRANTED)
-        yield "claim is committed", _put(state, number, granted)
+        yield "claim is committed", _with_router(state, number, granted)
     elif state.claim.state != "none":
-        yield "answer from the claim", _put(state, number, Router())
+        yield "answer from the claim", _with_router(state, number, Router())
     if mutation is Mutation.CLAIM_NOT_AGREED:
         yield "send early", _send(state, number, router)
 
 
-def _begin(state: State, number: int) -> State:
+def _start_attempt(state: State, number: int) -> State:
     attempt = state.attempts + 1
     proposal = Proposal(attempt, "running")
-    begun = state._replace(attempts=attempt, proposals=state.proposals | {proposal})
-    return _put(begun, number, Router(Phase.PROPOSING, attempt))
+    started = state._replace(attempts=attempt, proposals=state.proposals | {proposal})
+    return _with_router(started, number, Router(Phase.PROPOSING, attempt))
 
 
 def _send(state: State, number: int, router: Router) -> State:
     sent = state._replace(runs=state.runs + 1)
-    return _put(sent, number, router._replace(phase=Phase.SENT))
+    return _with_router(sent, number, router._replace(phase=Phase.SENT))
 
 
-def _close(state: State, number: int, router: Router, outcome: str) -> State:
+def _propose_outcome(state: State, number: int, router: Router, outcome: str) -> State:
     proposal = Proposal(router.attempt, outcome)
-    closing = state._replace(proposals=state.proposals | {proposal})
-    return _put(closing, number, router._replace(phase=Phase.CLOSING))
+    proposing = state._replace(proposals=state.proposals | {proposal})
+    return _with_router(proposing, number, router._replace(phase=Phase.CLOSING))
 
 
-def _put(state: State, number: int, router: Router) -> State:
+def _with_router(state: State, number: int, router: Router) -> State:
     routers = list(state.routers)
     routers[number] = router
     return state._replace(routers=tuple(routers))
--- a/spec/fencing.py
+++ b/spec/fencing.py
@@ -1,9 +1,9 @@
-"""Model of orders to an engine that ignores fencing numbers.
+"""Model of orders to an engine that ignores fencing tokens.
 
 Bounds: an old leader and its successor, each with one order; time in ticks. The
-successor may be elected while the old leader's lease still runs. An order on
-the network arrives within ``DELAY`` ticks or never, since its connection is
-closed then. The old leader may stop at any step and go on later.
+successor may be elected before the old leader's lease has expired. An order on the
+network arrives within ``MAX_DELAY`` ticks or never, since its connection is closed
+after that time. The old leader may pause at any step and continue later.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 from minicheck import Protocol
 
-#: Length of the old leader's lease.
+#: Length of the old leader's lease, in ticks.
 LEASE = 3
 
-#: Longest time that an order is under way.
-DELAY = 2
+#: Maximum network delay of an order, in ticks.
+MAX_DELAY = 2
 
-#: Longest time that the model runs after the election.
-AFTER = LEASE + DELAY + 4
+#: Ticks after the election at which the model stops.
+MAX_TICKS = LEASE + MAX_DELAY + 4
 
 
 class Mutation(Enum):
-    """A seeded fault of the protocol."""
+    """Seeded protocol fault; each must give a counterexample."""
 
     NONE = "none"
     LEASE_CHECKED_BEFORE = "lease checked before the blocking step"
@@ -33,22 +33,23 @@
 
 
 class Order(NamedTuple):
-    """An order on the network; ``age`` in ticks, -1 if there is none."""
+    """Order on the network; ``age`` is in ticks, -1 if there is no order."""
 
     age: int = -1
 
 
 class State(NamedTuple):
-    """The whole system.
+    """State of the system.
 
-    ``lease`` is what is left of the old leader's lease, ``since`` counts ticks
-    since the successor was elected, or is -1. ``old`` is the old leader's step;
-    ``engine`` names the leader whose order the engine carried out last.
+    ``lease_ticks`` is the remaining lease time of the old leader.
+    ``ticks_since_election`` is -1 until the successor is elected.
+    ``old_leader_step`` is the state of the old leader's order, and ``engine`` names
+    the leader whose order the engine executed last.
     """
 
-    lease: int
-    since: int
-    old: str
+    lease_ticks: int
+    ticks_since_election: int
+    old_leader_step: str
     old_order: Order
     new_order: Order
     engine: str
@@ -56,13 +57,13 @@
 
 
 def fencing(mutation: Mutation = Mutation.NONE) -> Protocol:
-    """Return the model, with a fault if asked for."""
+    """Return the model, with a seeded fault if ``mutation`` is not ``NONE``."""
     return Protocol(
         name="fencing",
         candidate=False,
         fields=State._fields,
         initial=State(LEASE, -1, "idle", Order(), Order(), "none", False),
-        transitions=lambda s: list(_transitions(State(*s), mutation)),
+        transitions=lambda values: list(_transitions(State(*values), mutation)),
         invariants={"finished_order_stays": _finished_order_stays},
     )
 
@@ -72,33 +73,35 @@
 
 
 def _transitions(state: State, mutation: Mutation):
-    yield from _time(state)
-    yield from _network(state)
-    yield from _old_leader(state, mutation)
-    yield from _new_leader(state, mutation)
+    yield from _clock_steps(state)
+    yield from _network_steps(state)
+    yield from _old_leader_steps(state, mutation)
+    yield from _new_leader_steps(state, mutation)
 
 
-def _time(state: State):
-    if state.since >= AFTER:
+def _clock_steps(state: State):
+    if state.ticks_since_election >= MAX_TICKS:
         return
-    if max(state.old_order.age, state.new_order.age) >= DELAY:
+    if max(state.old_order.age, state.new_order.age) >= MAX_DELAY:
         return
     yield (
         "tick",
         state._replace(
-            lease=max(0, state.lease - 1),
-            since=state.since + 1 if state.since >= 0 else -1,
-            old_order=_older(state.old_order),
-            new_order=_older(state.new_order),
+            lease_ticks=max(0, state.lease_ticks - 1),
+            ticks_since_election=state.ticks_since_election + 1
+            if state.ticks_since_election >= 0
+            else -1,
+            old_order=_aged(state.old_order),
+            new_order=_aged(state.new_order),
         ),
     )
 
 
-def _older(order: Order) -> Order:
+def _aged(order: Order) -> Order:
     return Order(order.age + 1) if order.age >= 0 else order
 
 
-def _network(state: State):
+def _network_steps(state: State):
     if state.old_order.age >= 0:
         yield "old order arrives", state._replace(old_order=Order(), engine="old")
         yield "old order is lost", state._replace(old_order=Order())
@@ -107,25 +110,32 @@
         yield "new order is lost", state._replace(new_order=Order())
 
 
-def _old_leader(state: State, mutation: Mutation):
-    if state.since < 0:
-        yield "lease renewed", state._replace(lease=LEASE)
-    early = mutation is Mutation.LEASE_CHECKED_BEFORE
-    if state.old == "idle" and (state.lease > 0 or not early):
-        yield "old leader connects", state._replace(old="connecting")
-    if state.old == "connecting":
-        yield "old leader is connected", state._replace(old="connected")
-    if state.old == "connected" and (state.lease > 0 or early):
-        yield "old leader sends", state._replace(old="sent", old_order=Order(0))
-
-
-def _new_leader(state: State, mutation: Mutation):
-    if state.since < 0:
-        yield "successor is elected", state._replace(since=0)
+def _old_leader_steps(state: State, mutation: Mutation):
+    if state.ticks_since_election < 0:
+        yield "lease renewed", state._replace(lease_ticks=LEASE)
+    checks_before_connecting = mutation is Mutation.LEASE_CHECKED_BEFORE
+    if state.old_leader_step == "idle" and (
+        state.lease_ticks > 0 or not checks_before_connecting
+    ):
+        yield "old leader connects", state._replace(old_leader_step="connecting")
+    if state.old_leader_step == "connecting":
+        yield "old leader is connected", state._replace(old_leader_step="connected")
+    if state.old_leader_step == "connected" and (
+        state.lease_ticks > 0 or checks_before_connecting
+    ):
+        yield (
+            "old leader sends",
+            state._replace(old_leader_step="sent", old_order=Order(0)),
+        )
+
+
+def _new_leader_steps(state: State, mutation: Mutation):
+    if state.ticks_since_election < 0:
+        yield "successor is elected", state._replace(ticks_since_election=0)
         return
-    wait = 0 if mutation is Mutation.NO_WAIT else LEASE + DELAY
+    wait_ticks = 0 if mutation is Mutation.NO_WAIT else LEASE + MAX_DELAY
     is_free = state.new_order.age < 0 and not state.is_done
-    if is_free and state.since >= wait:
+    if is_free and state.ticks_since_election >= wait_ticks:
         yield "successor sends", state._replace(new_order=Order(0))
         if state.engine == "new":
             yield "successor reads back", state._replace(is_done=True)
--- a/spec/grants.py
+++ b/spec/grants.py
@@ -1,13 +1,13 @@
-"""Model of grants: no window is charged more than burst + rate x T.
-
-Bounds: one organisation, burst ``BURST`` and one token a tick, two routers, a
-lifetime of ``LIFETIME`` ticks, ``CHANGES`` changes of the owner. Each router has
-one exchange with the owner at a time, which may be slow or lost at any step.
-``CRASHES`` routers may crash; one that starts again has another identity, so
-that the owner keeps the loan of the crashed one. ``room`` is a bucket that
-starts full and is emptied by the charges: every window keeps the bound exactly
-if it never runs below zero. Routers are alike, so that states that differ only
-in their order are taken as one.
+"""Model of grants: the charges of any window of length T are at most burst + rate x T.
+
+Bounds: one organisation with a burst of ``BURST`` tokens and a rate of one token per
+tick, two routers, grants with a lifetime of ``LIFETIME`` ticks, and ``CHANGES`` changes
+of the owner. Each router has one exchange with the owner at a time; an exchange may be
+delayed or lost at any step. ``CRASHES`` routers may crash. A restarted router has a new
+identity, so that the owner keeps the loan of the crashed router. ``room`` is a token
+bucket that starts full and that every charge is taken from: the bound holds in every
+window if and only if ``room`` never falls below zero. Routers are interchangeable, so
+states that differ only in the order of the routers count as the same state.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 from minicheck import Protocol
 
-#: Most tokens at once.
+#: Burst, in tokens.
 BURST = 2
 
-#: Lifetime of a grant in ticks.
+#: Lifetime of a grant, in ticks.
 LIFETIME = 2
 
 #: Number of routers.
 ROUTERS = 2
 
-#: How often the owner changes.
+#: Number of changes of the owner.
 CHANGES = 1
 
-#: How many routers crash.
+#: Maximum number of router crashes.
 CRASHES = 1
 
 
 class Mutation(Enum):
-    """A seeded fault of the protocol."""
+    """Seeded protocol fault; each must give a counterexample."""
 
     NONE = "none"
     LIFETIME_NOT_WAITED = "new owner does not wait out older grants"
@@ -45,11 +45,12 @@
 
 
 class Exchange(NamedTuple):
-    """A router's request to the owner, then its reply.
+    """Request of a router to the owner, and then the owner's reply.
 
-    ``age`` counts ticks since the request was sent, ``spent`` is what the
-    request reports as charged and not yet known to the owner, ``held`` is what
-    it reports as held, and ``tokens`` is what the reply grants.
+    ``age`` is the number of ticks since the request was sent, up to the lifetime of a
+    grant. ``spent`` is the number of tokens that the request reports as charged and
+    not yet known to the owner, ``held`` the number that it reports as held, and
+    ``tokens`` the number that the reply grants.
     """
 
     kind: str = "none"
@@ -60,31 +61,32 @@
 
 
 class Router(NamedTuple):
-    """A router; ``unknown`` is what it charged and the owner does not know."""
+    """State of a router; ``unreported`` is charged tokens unknown to the owner."""
 
     tokens: int = 0
-    life: int = 0
-    unknown: int = 0
+    ticks_left: int = 0
+    unreported: int = 0
     exchange: Exchange = Exchange()
 
 
 class Loan(NamedTuple):
-    """What the owner thinks that a router may charge, and for how long."""
+    """Tokens that a router may charge, and for how long, as the owner knows."""
 
     tokens: int = 0
-    life: int = 0
+    ticks_left: int = 0
 
 
 class State(NamedTuple):
-    """The whole system.
+    """State of the system.
 
-    ``older`` is how long older grants may live. The loan at place n is that of
-    the router at place n, the last one that of a crashed router.
+    ``older_ticks`` is the remaining time for which grants of earlier owners may be
+    valid. The loan at index n belongs to the router at index n, and the last loan to a
+    crashed router.
     """
 
     room: int
     level: int
-    older: int
+    older_ticks: int
     changes: int
     crashes: int
     loans: tuple[Loan, ...]
@@ -92,11 +94,11 @@
 
 
 def grants(mutation: Mutation = Mutation.NONE, crashes: int = CRASHES) -> Protocol:
-    """Return the model, with a fault if asked for and fewer crashes."""
+    """Return the model with at most ``crashes`` crashes and an optional fault."""
     initial = State(
         room=BURST,
         level=BURST,
-        older=0,
+        older_ticks=0,
         changes=0,
         crashes=CRASHES - crashes,
         loans=(Loan(),) * (ROUTERS + 1),
@@ -107,10 +109,10 @@
         candidate=False,
         fields=State._fields,
         initial=initial,
-        transitions=lambda s: list(_transitions(State(*s), mutation)),
+        transitions=lambda values: list(_transitions(State(*values), mutation)),
         invariants={
-            "window_bound": lambda d: d["room"] >= 0,
-            "level_bound": lambda d: 0 <= d["level"] <= BURST,
+            "window_bound": lambda values: values["room"] >= 0,
+            "level_bound": lambda values: 0 <= values["level"] <= BURST,
         },
     )
 
@@ -124,46 +126,46 @@
     for number, router in enumerate(state.routers):
         if number and router == state.routers[0] and state.loans[0] == state.loans[1]:
             continue
-        for label, after in _router_steps(state, number, router, mutation):
-            yield f"router {number}: {label}", after
+        for label, next_state in _router_steps(state, number, router, mutation):
+            yield f"router {number}: {label}", next_state
 
 
 def _tick(state: State) -> State:
     loans = tuple(
-        Loan(loan.tokens, loan.life - 1) if loan.life > 1 else Loan()
+        Loan(loan.tokens, loan.ticks_left - 1) if loan.ticks_left > 1 else Loan()
         for loan in state.loans
     )
-    older = max(0, state.older - 1)
-    level = state.level if state.older else state.level + 1
+    older_ticks = max(0, state.older_ticks - 1)
+    level = state.level if state.older_ticks else state.level + 1
     return state._replace(
         room=min(BURST, state.room + 1),
-        level=_limited(level, loans),
-        older=older,
+        level=_limit_level(level, loans),
+        older_ticks=older_ticks,
         loans=loans,
-        routers=tuple(_older_router(router) for router in state.routers),
+        routers=tuple(_aged_router(router) for router in state.routers),
     )
 
 
-def _older_router(router: Router) -> Router:
-    life = max(0, router.life - 1)
-    tokens = router.tokens if life else 0
+def _aged_router(router: Router) -> Router:
+    ticks_left = max(0, router.ticks_left - 1)
+    tokens = router.tokens if ticks_left else 0
     exchange = router.exchange
     if exchange.kind != "none":
         exchange = exchange._replace(age=min(LIFETIME, exchange.age + 1))
-    return Router(tokens, life, router.unknown, exchange)
+    return Router(tokens, ticks_left, router.unreported, exchange)
 
 
-def _limited(level: int, loans: tuple[Loan, ...]) -> int:
+def _limit_level(level: int, loans: tuple[Loan, ...]) -> int:
     lent = sum(loan.tokens for loan in loans)
     return min(level, max(0, BURST - lent))
 
 
 def _new_owner(state: State, mutation: Mutation) -> State:
-    waits = mutation is not Mutation.LIFETIME_NOT_WAITED
+    waits_for_grants = mutation is not Mutation.LIFETIME_NOT_WAITED
     is_full = mutation is Mutation.FULL_AT_START
     return state._replace(
         level=BURST if is_full else 0,
-        older=LIFETIME if waits else 0,
+        older_ticks=LIFETIME if waits_for_grants else 0,
         changes=state.changes + 1,
         loans=(Loan(),) * (ROUTERS + 1),
     )
@@ -177,23 +179,27 @@
     exchange = router.exchange
     if exchange.kind == "none":
         for kept in {0, router.tokens}:
-            yield f"ask, keeping {kept}", _ask(state, number, router, kept)
+            yield f"ask, keeping {kept}", _send_request(state, number, router, kept)
     else:
-        lost = router._replace(exchange=Exchange())
-        yield "exchange given up", _put(state, number, lost)
-    if exchange.kind == "request" and _may_answer(state, mutation):
+        abandoned = router._replace(exchange=Exchange())
+        yield "exchange given up", _with_router(state, number, abandoned)
+    if exchange.kind == "request" and _owner_grants(state, mutation):
         for lent in range(state.level + BURST + 1):
-            after = _answer(state, number, router, lent, mutation)
-            if after is None:
+            next_state = _reply(state, number, router, lent, mutation)
+            if next_state is None:
                 break
-            yield f"owner lends {lent}", after
+            yield f"owner lends {lent}", next_state
     if exchange.kind == "reply":
-        yield "reply arrives", _take(state, number, router, mutation)
+        yield "reply arrives", _receive_reply(state, number, router, mutation)
 
 
-def _may_answer(state: State, mutation: Mutation) -> bool:
-    """Return whether the owner grants; until then its replies are empty."""
-    return state.older == 0 or mutation is Mutation.HELD_ADOPTED
+def _owner_grants(state: State, mutation: Mutation) -> bool:
+    """Return whether the owner may reply to requests with grants.
+
+    A new owner waits until the grants of earlier owners have expired; its replies
+    grant no tokens until then, and the model omits them.
+    """
+    return state.older_ticks == 0 or mutation is Mutation.HELD_ADOPTED
 
 
 def _crash(state: State, number: int, mutation: Mutation) -> State:
@@ -202,58 +208,60 @@
         loans[ROUTERS] = loans[number]
         loans[number] = Loan()
     crashed = state._replace(crashes=state.crashes + 1, loans=tuple(loans))
-    return _put(crashed, number, Router())
+    return _with_router(crashed, number, Router())
 
 
 def _charge(state: State, number: int, router: Router) -> State:
     charged = router._replace(
-        tokens=router.tokens - 1, unknown=min(BURST, router.unknown + 1)
+        tokens=router.tokens - 1, unreported=min(BURST, router.unreported + 1)
     )
-    return _put(state._replace(room=state.room - 1), number, charged)
+    return _with_router(state._replace(room=state.room - 1), number, charged)
 
 
-def _ask(state: State, number: int, router: Router, kept: int) -> State:
-    request = Exchange("request", 0, router.unknown, kept)
-    life = router.life if kept else 0
-    asking = router._replace(tokens=kept, life=life, exchange=request)
-    return _put(state, number, asking)
+def _send_request(state: State, number: int, router: Router, kept: int) -> State:
+    request = Exchange("request", 0, router.unreported, kept)
+    ticks_left = router.ticks_left if kept else 0
+    requesting = router._replace(tokens=kept, ticks_left=ticks_left, exchange=request)
+    return _with_router(state, number, requesting)
 
 
-def _answer(
+def _reply(
     state: State, number: int, router: Router, lent: int, mutation: Mutation
 ) -> State | None:
-    """Return the state after the owner's answer, or none if it lends less."""
+    """Return the state after the reply, or ``None`` if ``lent`` exceeds the level."""
     exchange = router.exchange
     loan = state.loans[number]
-    adopts = mutation is Mutation.HELD_ADOPTED and state.older > 0
-    kept = exchange.held if adopts else min(exchange.held, loan.tokens)
-    unused = 0 if adopts else max(0, loan.tokens - kept - exchange.spent)
+    adopts_held = mutation is Mutation.HELD_ADOPTED and state.older_ticks > 0
+    kept = exchange.held if adopts_held else min(exchange.held, loan.tokens)
+    unused = 0 if adopts_held else max(0, loan.tokens - kept - exchange.spent)
     loans = list(state.loans)
     loans[number] = Loan(kept, LIFETIME)
-    level = _limited(state.level + unused, tuple(loans))
+    level = _limit_level(state.level + unused, tuple(loans))
     if lent > level:
         return None
-    total = kept + lent
-    loans[number] = Loan(total, LIFETIME) if total else Loan()
-    reply = Exchange("reply", exchange.age, 0, exchange.held, total)
-    unknown = router.unknown - exchange.spent
-    answered = router._replace(unknown=unknown, exchange=reply)
-    owner = state._replace(level=level - lent, loans=tuple(loans))
-    return _put(owner, number, answered)
-
-
-def _take(state: State, number: int, router: Router, mutation: Mutation) -> State:
+    granted = kept + lent
+    loans[number] = Loan(granted, LIFETIME) if granted else Loan()
+    reply = Exchange("reply", exchange.age, 0, exchange.held, granted)
+    unreported = router.unreported - exchange.spent
+    replied = router._replace(unreported=unreported, exchange=reply)
+    owner_updated = state._replace(level=level - lent, loans=tuple(loans))
+    return _with_router(owner_updated, number, replied)
+
+
+def _receive_reply(
+    state: State, number: int, router: Router, mutation: Mutation
+) -> State:
     reply = router.exchange
-    life = LIFETIME - reply.age
+    ticks_left = LIFETIME - reply.age
     if mutation is Mutation.COUNTED_FROM_RECEIPT:
-        life = LIFETIME
-    tokens = max(0, reply.tokens - router.unknown) if life else 0
-    life = life if tokens else 0
-    return _put(state, number, Router(tokens, life, router.unknown))
+        ticks_left = LIFETIME
+    tokens = max(0, reply.tokens - router.unreported) if ticks_left else 0
+    ticks_left = ticks_left if tokens else 0
+    return _with_router(state, number, Router(tokens, ticks_left, router.unreported))
 
 
-def _put(state: State, number: int, router: Router) -> State:
-    """Replace a router, and bring the routers into a fixed order."""
+def _with_router(state: State, number: int, router: Router) -> State:
+    """Replace a router and sort the routers, so that symmetric states are equal."""
     routers = list(state.routers)
     routers[number] = router
     pairs = sorted(zip(routers, state.loans[:ROUTERS], strict=True))
--- a/spec/replication.py
+++ b/spec/replication.py
@@ -1,39 +1,40 @@
-"""Election, log and membership change of the replicated log.
+"""Model of election, log replication and membership change.
 
-The model says what replicas may do; it has no clock. Pre-vote, leases and
-timeouts only forbid some of what it allows, so what holds here holds with them.
+The model describes the steps that replicas may take. It has no clock. Pre-vote, leases
+and time-outs only rule out some of these steps, so invariants of the model also hold
+with them.
 
 Network
-    A message that was sent is never taken back: it may be delivered at any
-    later time, again, out of order, or never. So loss, repetition, reordering
-    and partitions need no actions of their own. What was sent is kept as facts:
-    the vote requests and votes of each term, the log that the leader of a term
-    offered, and how much of it each replica acknowledged. An older append
-    request is a shorter prefix of the same log.
+    A sent message stays deliverable: it may be delivered at any later time, several
+    times, out of order, or never. Loss, duplication, reordering and partitions
+    therefore need no steps of their own. The state records the sent messages: the vote
+    requests and votes of each term, the log that the leader of a term sent, and how
+    much of this log each replica acknowledged. An older append request is a shorter
+    prefix of the same log.
 
 Crash
-    A replica loses what is not durable: that it was a candidate or leader.
-    Term, vote and log are durable before any message that rests on them. So a
-    crash is the same as doing nothing more in that role, which the model always
-    allows, and needs no action of its own either.
+    A replica loses the state that is not durable: its role as candidate or leader.
+    Term, vote and log are durable before any message that depends on them is sent. A
+    crash is therefore equivalent to taking no further step in that role. The model
+    always allows this, so a crash needs no step of its own either.
 
 Start
-    All voted for the first voter, which leads term 1 with an empty log.
+    All replicas have voted for the first voter, which leads term 1 with an empty log.
 
-A candidate's request is its role and its log, which do not change while it
-asks. Facts that nothing can rest on any more are dropped: votes for a candidate
-that has moved on, what a former leader knew, and the log of a term that every
+The vote request of a candidate consists of its role and its log, which do not change
+during the campaign. Messages that no later step can depend on are dropped: votes for a
+former candidate, the commit index of a former leader, and the log of a term that every
 replica has left.
 
 Lost disk
-    The replica id never comes back. The VM returns under a new id, with
-    nothing, and is not a member until the log makes it one.
+    The replica id never returns. The VM returns under a new id, with no state, and is
+    not a member until a log entry adds it.
 
 Membership
-    The newest membership in a replica's log is in force for it, committed or
-    not. A leader changes one voter at a time, once it has committed an entry of
-    its own term and no earlier change is uncommitted. Learners count nowhere,
-    so they do not appear; a promotion is the addition of a voter.
+    Each replica uses the newest membership in its log, whether committed or not. A
+    leader changes one voter at a time, after it has committed an entry of its own term
+    and while no earlier change is uncommitted. Learners count in no majority, so the
+    model omits them; the promotion of a learner is the addition of a voter.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
 
 
 class Mutation(Enum):
-    """A rule left out on purpose; each must give a counterexample."""
+    """Rule that is omitted on purpose; each must give a counterexample."""
 
     NONE = "none"
     VOTE_NOT_DURABLE = "a crash loses the vote"
@@ -58,7 +59,7 @@
 
 
 class Role(StrEnum):
-    """What a replica does in its term; not durable."""
+    """Role of a replica in its term; not durable."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -66,7 +67,7 @@
 
 
 class Entry(NamedTuple):
-    """A log entry; ``voters`` is empty unless it changes the membership."""
+    """Log entry; ``voters`` is empty unless the entry changes the membership."""
 
     term: int
     voters: frozenset[str] = frozenset()
@@ -76,7 +77,7 @@
 
 
 class Replica(NamedTuple):
-    """State of one replica id."""
+    """State of the replica with one id."""
 
     term: int = 0
     vote: str = ""
@@ -85,14 +86,14 @@
 
 
 class Leadership(NamedTuple):
-    """What the leader of a term sent, and what it knows to be committed."""
+    """Log that the leader of a term sent, and its commit index."""
 
     replica: str
     log: Log
     commit: int = 0
 
-    def retired(self) -> Leadership:
-        """Return what is left when the leader has stopped."""
+    def without_commit(self) -> Leadership:
+        """Return the leadership without the commit index that a former leader loses."""
         return Leadership(self.replica, self.log)
 
 
@@ -109,7 +110,7 @@
 
 
 class State(NamedTuple):
-    """The whole system, with what was sent and what was ever committed."""
+    """State of the system, with the sent messages and the longest committed log."""
 
     replicas: frozenset[tuple[str, Replica]]
     votes: frozenset[tuple[int, str, str]] = frozenset()
@@ -132,8 +133,8 @@
     return state._replace(replicas=with_item(state.replicas, name, replica))
 
 
-def without_stale_facts(state: State) -> State:
-    """Drop what no candidate and no leader can use any more."""
+def drop_stale_messages(state: State) -> State:
+    """Drop the messages that no candidate and no leader can use any more."""
     replicas = dict(state.replicas)
     oldest = min(replica.term for replica in replicas.values())
 
@@ -142,43 +143,50 @@
         return replica is not None and (replica.term, replica.role) == (term, role)
 
     leaderships = [
-        (term, sent if has_role(sent.replica, term, Role.LEADER) else sent.retired())
-        for term, sent in state.leaderships
+        (
+            term,
+            leadership
+            if has_role(leadership.replica, term, Role.LEADER)
+            else leadership.without_commit(),
+        )
+        for term, leadership in state.leaderships
         if term >= oldest
     ]
-    leading = {
-        term for term, sent in leaderships if has_role(sent.replica, term, Role.LEADER)
+    leading_terms = {
+        term
+        for term, leadership in leaderships
+        if has_role(leadership.replica, term, Role.LEADER)
     }
     return State(
         state.replicas,
         frozenset(v for v in state.votes if has_role(v[2], v[0], Role.CANDIDATE)),
         frozenset(leaderships),
-        frozenset(a for a in state.acks if a[0] in leading),
+        frozenset(ack for ack in state.acks if ack[0] in leading_terms),
         *state[4:],
     )
 
 
 def with_ack(state: State, term: int, name: str, count: int) -> State:
-    """Note an acknowledgement; it includes those of fewer entries."""
-    known = {a for a in state.acks if a[:2] == (term, name)}
-    highest = max([count, *(a[2] for a in known)])
-    return state._replace(acks=(state.acks - known) | {(term, name, highest)})
+    """Record an acknowledgement; it replaces those of fewer entries."""
+    earlier_acks = {ack for ack in state.acks if ack[:2] == (term, name)}
+    highest = max([count, *(ack[2] for ack in earlier_acks)])
+    return state._replace(acks=(state.acks - earlier_acks) | {(term, name, highest)})
 
 
-def position(log: Log) -> tuple[int, int]:
-    """Return what voters compare: last term, then last index."""
+def log_position(log: Log) -> tuple[int, int]:
+    """Return the key that voters compare: term, then index, of the last entry."""
     return (log[-1].term if log else 0, len(log))
 
 
 class Replication:
-    """The rules, within bounds and with at most one of them left out."""
+    """Rules of the protocol within bounds, of which a mutation omits one."""
 
     def __init__(self, bounds: Bounds, mutation: Mutation = Mutation.NONE) -> None:
         self._bounds = bounds
         self._mutation = mutation
 
     def protocol(self) -> Protocol:
-        """Return the model for the checker."""
+        """Return the model in the form of the checker."""
         return Protocol(
             name=f"replication ({self._mutation.value})",
             candidate=False,
@@ -203,23 +211,25 @@
         )
 
     def steps(self, state: State) -> Iterator[Step]:
-        """Yield everything that may happen next."""
-        # Sets have no order of their own; each search must find the same trace.
-        for label, after in sorted(self._all_steps(state), key=lambda step: step[0]):
-            yield label, without_stale_facts(after)
+        """Yield all enabled steps in a fixed order."""
+        # Sets are unordered; sorting makes each search find the same trace.
+        for label, next_state in sorted(
+            self._all_steps(state), key=lambda step: step[0]
+        ):
+            yield label, drop_stale_messages(next_state)
 
     def _all_steps(self, state: State) -> Iterator[Step]:
         for name, replica in state.replicas:
             yield from self._campaign(state, name, replica)
             yield from self._vote(state, name, replica)
-            yield from self._take_entries(state, name, replica)
+            yield from self._acknowledge_entries(state, name, replica)
             if replica.role is Role.CANDIDATE:
                 yield from self._win(state, name, replica)
             if replica.role is Role.LEADER:
                 yield from self._propose(state, name, replica)
                 yield from self._change_members(state, name, replica)
                 yield from self._commit(state, name, replica)
-            yield from self._forget_vote(state, name, replica)
+            yield from self._lose_vote(state, name, replica)
             yield from self._lose_disk(state, name)
 
     def _voters(self, log: Log) -> frozenset[str]:
@@ -235,64 +245,70 @@
         if replica.term == self._bounds.terms:
             return
         term = replica.term + 1
-        new = replica._replace(term=term, vote=name, role=Role.CANDIDATE)
-        after = with_replica(state, name, new)
+        candidate = replica._replace(term=term, vote=name, role=Role.CANDIDATE)
+        next_state = with_replica(state, name, candidate)
         yield (
             f"{name} asks for votes in term {term}",
-            after._replace(votes=state.votes | {(term, name, name)}),
+            next_state._replace(votes=state.votes | {(term, name, name)}),
         )
 
     def _vote(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
-        for candidate, asking in state.replicas:
-            term = asking.term
-            if asking.role is not Role.CANDIDATE or candidate == name:
+        for candidate, requester in state.replicas:
+            term = requester.term
+            if requester.role is not Role.CANDIDATE or candidate == name:
                 continue
             if term < replica.term:
                 continue
             if term == replica.term and replica.vote not in ("", candidate):
                 continue
-            compares = self._mutation is not Mutation.SHORT_LOG_ELECTED
-            if compares and position(asking.log) < position(replica.log):
+            compares_logs = self._mutation is not Mutation.SHORT_LOG_ELECTED
+            if compares_logs and log_position(requester.log) < log_position(
+                replica.log
+            ):
                 continue
             role = replica.role if term == replica.term else Role.FOLLOWER
-            new = replica._replace(term=term, vote=candidate, role=role)
-            after = with_replica(state, name, new)
+            voter = replica._replace(term=term, vote=candidate, role=role)
+            next_state = with_replica(state, name, voter)
             votes = state.votes | {(term, name, candidate)}
             yield (
                 f"{name} votes for {candidate} in term {term}",
-                after._replace(votes=votes),
+                next_state._replace(votes=votes),
             )
 
     def _win(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
         term = replica.term
-        granted = {
-            v for t, v, candidate in state.votes if (t, candidate) == (term, name)
+        voters_for_candidate = {
+            voter
+            for vote_term, voter, candidate in state.votes
+            if (vote_term, candidate) == (term, name)
         }
-        if not self._has_majority(self._voters(replica.log), granted):
+        if not self._has_majority(self._voters(replica.log), voters_for_candidate):
             return
         leadership = dict(state.leaderships).get(term)
         if leadership is not None and leadership.replica != name:
             yield f"{name} leads term {term} too", state._replace(two_leaders=True)
             return
-        after = with_replica(state, name, replica._replace(role=Role.LEADER))
-        sent = Leadership(name, replica.log)
+        next_state = with_replica(state, name, replica._replace(role=Role.LEADER))
+        leadership = Leadership(name, replica.log)
         yield (
             f"{name} leads term {term}",
-            after._replace(leaderships=with_item(state.leaderships, term, sent)),
+            next_state._replace(
+                leaderships=with_item(state.leaderships, term, leadership)
+            ),
         )
 
     def _append(self, state: State, name: str, replica: Replica, entry: Entry) -> State:
         log = (*replica.log, entry)
-        after = with_replica(state, name, replica._replace(log=log))
-        sent = dict(state.leaderships)[replica.term]._replace(log=log)
-        return after._replace(
-            leaderships=with_item(state.leaderships, replica.term, sent)
+        next_state = with_replica(state, name, replica._replace(log=log))
+        leadership = dict(state.leaderships)[replica.term]._replace(log=log)
+        return next_state._replace(
+            leaderships=with_item(state.leaderships, replica.term, leadership)
         )
 
     def _propose(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
         if len(replica.log) < self._bounds.entries:
-            after = self._append(state, name, replica, Entry(replica.term))
-            yield f"{name} appends a command", after
+            next_state = self._append(state, name, replica, Entry(replica.term))
+            yield f"{name} appends a command", next_state
 
     def _change_members(
         self, state: State, name: str, replica: Replica
@@ -308,10 +324,12 @@
         if not has_committed and self._mutation is not Mutation.CHANGE_TOO_EARLY:
             return
         voters = self._voters(log)
-        for new in self._next_voters(state, voters):
-            if new:
-                after = self._append(state, name, replica, Entry(replica.term, new))
-                yield f"{name} changes the voters to {sorted(new)}", after
+        for new_voters in self._next_voters(state, voters):
+            if new_voters:
+                next_state = self._append(
+                    state, name, replica, Entry(replica.term, new_voters)
+                )
+                yield f"{name} changes the voters to {sorted(new_voters)}", next_state
 
     def _next_voters(
         self, state: State, voters: frozenset[str]
@@ -321,63 +339,66 @@
         if self._mutation is Mutation.TWO_AT_ONCE:
             yield from (voters - {x, y} for x in voters for y in voters if x < y)
 
-    def _take_entries(
+    def _acknowledge_entries(
         self, state: State, name: str, replica: Replica
     ) -> Iterator[Step]:
-        for term, sent in state.leaderships:
-            if term < replica.term or sent.replica == name:
+        for term, leadership in state.leaderships:
+            if term < replica.term or leadership.replica == name:
                 continue
-            for count in range(1, len(sent.log) + 1):
-                prefix = sent.log[:count]
+            for count in range(1, len(leadership.log) + 1):
+                prefix = leadership.log[:count]
                 log = replica.log if replica.log[:count] == prefix else prefix
                 vote = replica.vote if term == replica.term else ""
-                after = with_replica(state, name, Replica(term, vote, log))
+                next_state = with_replica(state, name, Replica(term, vote, log))
                 yield (
                     f"{name} acknowledges {count} entries in term {term}",
-                    with_ack(after, term, name, count),
+                    with_ack(next_state, term, name, count),
                 )
 
     def _commit(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
-        sent = dict(state.leaderships)[replica.term]
-        for count in range(sent.commit + 1, len(replica.log) + 1):
-            old = replica.log[count - 1].term != replica.term
-            if old and self._mutation is not Mutation.OLD_TERM_COMMIT:
+        leadership = dict(state.leaderships)[replica.term]
+        for count in range(leadership.commit + 1, len(replica.log) + 1):
+            is_older_term = replica.log[count - 1].term != replica.term
+            if is_older_term and self._mutation is not Mutation.OLD_TERM_COMMIT:
                 continue
-            saved = {
+            stored_by = {
                 other
                 for term, other, acked in state.acks
                 if term == replica.term and acked >= count
             }
-            if self._has_majority(self._voters(replica.log), saved | {name}):
-                yield from self._note_commit(state, replica, sent, count)
+            if self._has_majority(self._voters(replica.log), stored_by | {name}):
+                yield from self._record_commit(state, replica, leadership, count)
 
-    def _note_commit(
-        self, state: State, replica: Replica, sent: Leadership, count: int
+    def _record_commit(
+        self, state: State, replica: Replica, leadership: Leadership, count: int
     ) -> Iterator[Step]:
-        new = replica.log[:count]
-        known = state.committed
-        shared = min(len(new), len(known))
-        sent = sent._replace(commit=count)
+        newly_committed = replica.log[:count]
+        committed = state.committed
+        shared = min(len(newly_committed), len(committed))
+        leadership = leadership._replace(commit=count)
         yield (
-            f"{sent.replica} commits {count} entries in term {replica.term}",
+            f"{leadership.replica} commits {count} entries in term {replica.term}",
             state._replace(
-                leaderships=with_item(state.leaderships, replica.term, sent),
-                committed=max(new, known, key=len),
-                overwritten=new[:shared] != known[:shared],
+                leaderships=with_item(state.leaderships, replica.term, leadership),
+                committed=max(newly_committed, committed, key=len),
+                overwritten=newly_committed[:shared] != committed[:shared],
             ),
         )
 
-    def _forget_vote(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
+    def _lose_vote(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
         if self._mutation is Mutation.VOTE_NOT_DURABLE and replica.vote:
-            new = replica._replace(role=Role.FOLLOWER, vote="")
-            yield f"{name} crashes and restarts", with_replica(state, name, new)
+            restarted = replica._replace(role=Role.FOLLOWER, vote="")
+            yield f"{name} crashes and restarts", with_replica(state, name, restarted)
 
     def _lose_disk(self, state: State, name: str) -> Iterator[Step]:
         if state.lost_disks == self._bounds.lost_disks:
             return
         if self._mutation is Mutation.DISK_KEEPS_ID:
-            after = with_replica(state, name, Replica())
+            next_state = with_replica(state, name, Replica())
         else:
-            gone = frozenset(pair for pair in state.replicas if pair[0] != name)
-            after = state._replace(replicas=gone)
-        yield f"{name} loses its disk", after._replace(lost_disks=state.lost_disks + 1)
+            remaining = frozenset(pair for pair in state.replicas if pair[0] != name)
+            next_state = state._replace(replicas=remaining)
+        yield (
+            f"{name} loses its disk",
+            next_state._replace(lost_disks=state.lost_disks + 1),
+        )
--- a/spec/resumption.py
+++ b/spec/resumption.py
@@ -1,23 +1,25 @@
-"""Leases of leaders, restarts, and a former leader that resumes without waiting.
+"""Model of leader leases, restarts, and resumption by a former leader without a wait.
 
-The model has no clock. A lease stands as long as a majority's answers to its leader
-count; time ends the count of one answer after the other. A replica that answered a
-leader, or restarted, refuses its vote until no answer of its own counts any more: the
-shortest election timeout is longer than a lease. The log is left out; `replication`
-has it.
+The model has no clock. A lease is valid as long as the answers of a majority to the
+leader are valid; a step expires the answers of one replica at a time. A replica that
+has answered a leader, or has restarted, withholds its vote until none of its answers
+is valid: the shortest election time-out is longer than a lease. The log is omitted,
+since `replication` covers it.
 
 Restart
-    A replica keeps term, vote and the leader it followed. It does not know whom it
-    answered last, so it refuses its vote until all its answers have ended.
+    A replica keeps its term, its vote and the leader that it followed. It does not know
+    which leader it answered last, so it withholds its vote until all its answers have
+    expired.
 
 Resume
-    A replica that is no leader asks which voters support it in its own term: whose
-    vote it has, or that followed it, and that followed nobody else. With a majority it
-    asks for votes in the next term, and voters do not wait for a lease.
+    A replica that does not lead asks which voters support it in its own term: those
+    that voted for it or followed it, and followed no other replica. With the support
+    of a majority it requests votes in the next term, and voters do not wait for a lease
+    to expire.
 
 Members
-    A leader may remove a voter; the group of the model shrinks for all that hear of
-    it, which they do by following the leader.
+    A leader may remove a voter. The group shrinks for each replica that learns of the
+    removal, which it does by following the leader.
 """
 
 from __future__ import annotations
@@ -30,7 +32,7 @@
 
 
 class Mutation(Enum):
-    """A rule left out on purpose; each must give a counterexample."""
+    """Rule that is omitted on purpose; each must give a counterexample."""
 
     NONE = "none"
     NO_WAIT = "a voter votes although its answer to a leader counts"
@@ -40,7 +42,7 @@
 
 
 class Role(StrEnum):
-    """What a replica does in its term; not durable."""
+    """Role of a replica in its term; not durable."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -49,17 +51,17 @@
 
 
 class Replica(NamedTuple):
-    """State of one replica; ``heard`` tells that it may hold a leader's lease."""
+    """State of a replica; it withholds its vote while its answers may be valid."""
 
     term: int = 1
     vote: str = ""
     followed: str = ""
     voters: frozenset[str] = frozenset()
     role: Role = Role.FOLLOWER
-    heard: bool = False
+    withholds_vote: bool = False
 
     def supports(self, name: str) -> bool:
-        """Return whether it voted for, or followed, this replica and no other."""
+        """Return whether it followed ``name`` or, if it followed none, voted for it."""
         return (self.followed or self.vote) == name
 
 
@@ -73,11 +75,11 @@
 
 
 class State(NamedTuple):
-    """All replicas, and which answers to which leader still count."""
+    """State of the system, with the valid answers to leaders."""
 
     replicas: frozenset[tuple[str, Replica]]
     votes: frozenset[tuple[int, str, str]] = frozenset()
-    #: Pairs of a term and the replica that answered its leader.
+    #: Pairs of a term and a replica that answered the leader of this term.
     answers: frozenset[tuple[int, str]] = frozenset()
     supports: frozenset[tuple[int, str, str]] = frozenset()
     removals: int = 0
@@ -92,14 +94,14 @@
 
 
 class Resumption:
-    """The rules, within bounds and with at most one of them left out."""
+    """Rules of the protocol within bounds, of which a mutation omits one."""
 
     def __init__(self, bounds: Bounds, mutation: Mutation = Mutation.NONE) -> None:
         self._bounds = bounds
         self._mutation = mutation
 
     def protocol(self) -> Protocol:
-        """Return the model for the checker."""
+        """Return the model in the form of the checker."""
         return Protocol(
             name=f"resumption ({self._mutation.value})",
             candidate=False,
@@ -119,10 +121,10 @@
         return State(frozenset(replicas.items()))
 
     def steps(self, state: State) -> Iterator[Step]:
-        """Yield everything that may happen next."""
-        found = list(self._all_steps(state))
-        # Sets have no order of their own; each search must find the same trace.
-        yield from sorted(found, key=lambda step: step[0])
+        """Yield all enabled steps in a fixed order."""
+        steps = list(self._all_steps(state))
+        # Sets are unordered; sorting makes each search find the same trace.
+        yield from sorted(steps, key=lambda step: step[0])
 
     def _all_steps(self, state: State) -> Iterator[Step]:
         for name, replica in state.replicas:
@@ -133,63 +135,72 @@
                 yield from self._remove(state, name, replica)
             yield from self._vote(state, name, replica)
             yield from self._win(state, name, replica)
-            yield from self._answer(state, name, replica)
-            yield from self._tell_support(state, name, replica)
-            yield from self._let_time_pass(state, name, replica)
+            yield from self._answer_leader(state, name, replica)
+            yield from self._confirm_support(state, name, replica)
+            yield from self._expire_answers(state, name, replica)
             yield from self._restart(state, name, replica)
 
-    def _with(self, state: State, name: str, replica: Replica) -> State:
-        others = frozenset(p for p in state.replicas if p[0] != name)
+    def _with_replica(self, state: State, name: str, replica: Replica) -> State:
+        others = frozenset(pair for pair in state.replicas if pair[0] != name)
         return state._replace(replicas=others | {(name, replica)})
 
     def _campaign(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
-        yield from self._ask(state, name, replica, Role.CANDIDATE)
+        yield from self._request_votes(state, name, replica, Role.CANDIDATE)
 
-    def _ask(
+    def _request_votes(
         self, state: State, name: str, replica: Replica, role: Role
     ) -> Iterator[Step]:
         if replica.term == self._bounds.terms or name not in replica.voters:
             return
-        if role is Role.CANDIDATE and replica.heard:
+        if role is Role.CANDIDATE and replica.withholds_vote:
             return
         term = replica.term + 1
         new = replica._replace(term=term, vote=name, followed="", role=role)
-        after = self._with(state, name, new)
+        next_state = self._with_replica(state, name, new)
         votes = state.votes | {(term, name, name)}
-        yield f"{name} asks as {role} in term {term}", after._replace(votes=votes)
+        yield f"{name} asks as {role} in term {term}", next_state._replace(votes=votes)
 
     def _resume(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
         if not replica.supports(name):
             return
-        support = {
+        supporters = {
             voter
             for term, voter, candidate in state.supports
             if (term, candidate) == (replica.term, name)
         }
         if self._mutation is Mutation.OWN_SUPPORT_ONLY or has_majority(
-            replica.voters, support | {name}
+            replica.voters, supporters | {name}
         ):
-            yield from self._ask(state, name, replica, Role.RESUMING)
+            yield from self._request_votes(state, name, replica, Role.RESUMING)
 
-    def _tell_support(
+    def _confirm_support(
         self, state: State, name: str, replica: Replica
     ) -> Iterator[Step]:
         for other, _ in state.replicas:
-            fact = (replica.term, name, other)
-            if other != name and replica.supports(other) and fact not in state.supports:
+            confirmation = (replica.term, name, other)
+            if (
+                other != name
+                and replica.supports(other)
+                and confirmation not in state.supports
+            ):
                 yield (
                     f"{name} supports {other} in term {replica.term}",
-                    state._replace(supports=state.supports | {fact}),
+                    state._replace(supports=state.supports | {confirmation}),
                 )
 
     def _vote(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
-        waits = replica.heard and self._mutation is not Mutation.NO_WAIT
-        for candidate, asking in state.replicas:
-            if asking.role not in (Role.CANDIDATE, Role.RESUMING) or candidate == name:
+        waits_for_lease = (
+            replica.withholds_vote and self._mutation is not Mutation.NO_WAIT
+        )
+        for candidate, requester in state.replicas:
+            if (
+                requester.role not in (Role.CANDIDATE, Role.RESUMING)
+                or candidate == name
+            ):
                 continue
-            if waits and asking.role is Role.CANDIDATE:
+            if waits_for_lease and requester.role is Role.CANDIDATE:
                 continue
-            term = asking.term
+            term = requester.term
             is_free = term > replica.term or replica.vote in ("", candidate)
             if term < replica.term or not is_free or replica.role is Role.LEADER:
                 continue
@@ -198,83 +209,98 @@
             new = replica._replace(term=term, vote=candidate)
             if term > replica.term:
                 new = new._replace(followed="", role=Role.FOLLOWER)
-            after = self._with(state, name, new)
+            next_state = self._with_replica(state, name, new)
             yield (
                 f"{name} votes for {candidate} in term {term}",
-                after._replace(votes=state.votes | {(term, name, candidate)}),
+                next_state._replace(votes=state.votes | {(term, name, candidate)}),
             )
 
     def _win(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
         if replica.role not in (Role.CANDIDATE, Role.RESUMING):
             return
-        voted = {
+        voters_for_candidate = {
             voter
             for term, voter, candidate in state.votes
             if (term, candidate) == (replica.term, name)
         }
-        if has_majority(replica.voters, voted):
+        if has_majority(replica.voters, voters_for_candidate):
             new = replica._replace(role=Role.LEADER)
-            yield f"{name} leads term {replica.term}", self._with(state, name, new)
+            yield (
+                f"{name} leads term {replica.term}",
+                self._with_replica(state, name, new),
+            )
 
     def _remove(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
         if state.removals == self._bounds.removals or len(replica.voters) < 3:
             return
-        acked = {voter for term, voter in state.answers if term == replica.term}
-        # A change is committed before the next one, and after an own entry.
-        if not has_majority(replica.voters, acked | {name}):
+        answering_voters = {
+            voter for term, voter in state.answers if term == replica.term
+        }
+        # A leader commits an entry of its own term before the first change, and each
+        # change before the next one.
+        if not has_majority(replica.voters, answering_voters | {name}):
             return
         for other in sorted(replica.voters - {name}):
             new = replica._replace(voters=replica.voters - {other})
-            after = self._with(state, name, new)
+            next_state = self._with_replica(state, name, new)
             yield (
                 f"{name} removes {other} in term {replica.term}",
-                after._replace(removals=state.removals + 1, answers=frozenset()),
+                next_state._replace(removals=state.removals + 1, answers=frozenset()),
             )
 
-    def _answer(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
-        for leader, leading in state.replicas:
-            if leading.role is not Role.LEADER or leader == name:
+    def _answer_leader(
+        self, state: State, name: str, replica: Replica
+    ) -> Iterator[Step]:
+        for leader, leader_replica in state.replicas:
+            if leader_replica.role is not Role.LEADER or leader == name:
                 continue
-            if leading.term < replica.term:
+            if leader_replica.term < replica.term:
                 continue
-            vote = replica.vote if leading.term == replica.term else ""
+            vote = replica.vote if leader_replica.term == replica.term else ""
             new = Replica(
-                leading.term, vote, leader, leading.voters, Role.FOLLOWER, heard=True
+                leader_replica.term,
+                vote,
+                leader,
+                leader_replica.voters,
+                Role.FOLLOWER,
+                withholds_vote=True,
             )
-            answers = state.answers | {(leading.term, name)}
+            answers = state.answers | {(leader_replica.term, name)}
             if new != replica or answers != state.answers:
                 yield (
-                    f"{name} answers {leader} in term {leading.term}",
-                    self._with(state, name, new)._replace(answers=answers),
+                    f"{name} answers {leader} in term {leader_replica.term}",
+                    self._with_replica(state, name, new)._replace(answers=answers),
                 )
 
-    def _let_time_pass(
+    def _expire_answers(
         self, state: State, name: str, replica: Replica
     ) -> Iterator[Step]:
-        own = {answer for answer in state.answers if answer[1] == name}
-        if own:
+        own_answers = {answer for answer in state.answers if answer[1] == name}
+        if own_answers:
             yield (
                 f"the answers of {name} count no more",
-                state._replace(answers=state.answers - own),
+                state._replace(answers=state.answers - own_answers),
             )
-        elif replica.heard:
-            new = replica._replace(heard=False)
-            yield f"{name} may vote", self._with(state, name, new)
+        elif replica.withholds_vote:
+            new = replica._replace(withholds_vote=False)
+            yield f"{name} may vote", self._with_replica(state, name, new)
 
     def _restart(self, state: State, name: str, replica: Replica) -> Iterator[Step]:
         if state.restarts == self._bounds.restarts:
             return
-        heard = self._mutation is not Mutation.NO_WAIT_AFTER_RESTART
+        withholds_vote = self._mutation is not Mutation.NO_WAIT_AFTER_RESTART
         followed = replica.followed
         if self._mutation is Mutation.FOLLOWED_NOT_SAVED:
             followed = ""
-        new = replica._replace(role=Role.FOLLOWER, heard=heard, followed=followed)
-        after = self._with(state, name, new)
-        yield f"{name} restarts", after._replace(restarts=state.restarts + 1)
+        new = replica._replace(
+            role=Role.FOLLOWER, withholds_vote=withholds_vote, followed=followed
+        )
+        next_state = self._with_replica(state, name, new)
+        yield f"{name} restarts", next_state._replace(restarts=state.restarts + 1)
 
 
 def leases(state: State) -> list[str]:
-    """Return the leaders whose lease stands."""
+    """Return the leaders whose lease is valid."""
     return [
         name
         for name, replica in state.replicas
--- a/tests/test_spec/test_models.py
+++ b/tests/test_spec/test_models.py
@@ -1,4 +1,4 @@
-"""The protocols hold within the models' bounds, and seeded faults are found."""
+"""Check that the models hold within their bounds and that seeded faults are found."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from spec.grants import grants
 
 
-def faults(mutations):
+def seeded_faults(mutations):
     return [mutation for mutation in mutations if mutation.name != "NONE"]
 
 
@@ -29,23 +29,23 @@
     assert holds(fencing())
 
 
-@pytest.mark.parametrize("mutation", faults(ClaimsMutation))
+@pytest.mark.parametrize("mutation", seeded_faults(ClaimsMutation))
 def test_seeded_fault_runs_a_request_twice(mutation):
-    steps = counterexample(claims(mutation))
-    print(mutation.value, *steps, sep="\n  ")
-    assert sum("send" in step for step in steps) == 2
+    trace = counterexample(claims(mutation))
+    print(mutation.value, *trace, sep="\n  ")
+    assert sum("send" in step for step in trace) == 2
 
 
-@pytest.mark.parametrize("mutation", faults(GrantsMutation))
+@pytest.mark.parametrize("mutation", seeded_faults(GrantsMutation))
 def test_seeded_fault_charges_too_much(mutation):
     needs_crash = mutation is GrantsMutation.IDENTITY_KEPT
-    steps = counterexample(grants(mutation, crashes=int(needs_crash)))
-    print(mutation.value, *steps, sep="\n  ")
-    assert steps[-1].endswith("charge")
+    trace = counterexample(grants(mutation, crashes=int(needs_crash)))
+    print(mutation.value, *trace, sep="\n  ")
+    assert trace[-1].endswith("charge")
 
 
-@pytest.mark.parametrize("mutation", faults(FencingMutation))
+@pytest.mark.parametrize("mutation", seeded_faults(FencingMutation))
 def test_seeded_fault_undoes_a_finished_order(mutation):
-    steps = counterexample(fencing(mutation))
-    print(mutation.value, *steps, sep="\n  ")
-    assert steps
+    trace = counterexample(fencing(mutation))
+    print(mutation.value, *trace, sep="\n  ")
+    assert trace
--- a/tests/test_spec/test_replication.py
+++ b/tests/test_spec/test_replication.py
@@ -1,4 +1,4 @@
-"""Exhaustive check of the replication specification, and of its mutations."""
+"""Exhaustive check of the replication model and its mutations."""
 
 from __future__ import annotations
 
@@ -58,15 +58,15 @@
     ids=lambda value: value.name.lower() if isinstance(value, Mutation) else "",
 )
 def test_each_rule_is_needed(mutation, bounds, last_step):
-    steps = counterexample(Replication(bounds, mutation).protocol())
-    assert steps[-1].endswith(last_step)
+    trace = counterexample(Replication(bounds, mutation).protocol())
+    assert trace[-1].endswith(last_step)
 
 
 def test_model_is_not_vacuous():
-    """Two entries get committed after a disk was lost."""
+    """Two entries can be committed after a disk loss."""
     model = Replication(Bounds(terms=2, entries=2, lost_disks=1)).protocol()
     model.invariants = {
-        "nothing": lambda s: len(s["committed"]) < 2 or not s["lost_disks"]
+        "nothing": lambda state: len(state["committed"]) < 2 or not state["lost_disks"]
     }
     assert "loses its disk" in " ".join(counterexample(model))
 
@@ -90,15 +90,15 @@
 )
 
 
-def replay_change(mutation):
-    """Return the states that an early change of members leads through."""
+def replay_early_change(mutation):
+    """Return the states of a membership change before an entry of the own term."""
     bounds = Bounds(tuple("abcd"), terms=3, entries=2, changes=1)
     return replay(Replication(bounds, mutation).protocol(), EARLY_CHANGE)
 
 
 def test_change_before_an_own_commit_is_unsafe():
-    states = replay_change(Mutation.CHANGE_TOO_EARLY)
+    states = replay_early_change(Mutation.CHANGE_TOO_EARLY)
     assert len(states) == len(EARLY_CHANGE) + 1
     assert states[-1].overwritten
     assert not any(state.overwritten for state in states[:-1])
-    assert len(replay_change(Mutation.NONE)) == 1
+    assert len(replay_early_change(Mutation.NONE)) == 1
--- a/tests/test_spec/test_resumption.py
+++ b/tests/test_spec/test_resumption.py
@@ -1,4 +1,4 @@
-"""Exhaustive check of leases over restarts, and of its mutations."""
+"""Exhaustive check of leases across restarts, and of the mutations of the model."""
 
 from __future__ import annotations
 
@@ -37,8 +37,9 @@
     assert counterexample(Resumption(bounds, mutation).protocol())[-1] == last_step
 
 
-#: Two voters of the loser are left after the winner removed two of its own.
-LOSER_WITH_A_MAJORITY = (
+#: Replica b loses the election of term 2 to c. After c has removed two of its own
+#: voters, the two voters of b, a and b itself, are a majority of the remaining three.
+STALE_CANDIDATE_TRACE = (
     "a restarts",
     "a may vote",
     "b asks as candidate in term 2",
@@ -65,18 +66,20 @@
 )
 
 
-def replay_loser(mutation):
-    """Return the states that such a loser's attempt to resume leads through."""
+def replay_stale_candidate(mutation):
+    """Return the states of the attempt of the losing candidate to resume."""
     bounds = Bounds(tuple("abcde"), terms=3, removals=2, restarts=3)
-    return replay(Resumption(bounds, mutation).protocol(), LOSER_WITH_A_MAJORITY)
+    return replay(Resumption(bounds, mutation).protocol(), STALE_CANDIDATE_TRACE)
 
 
 def test_the_leader_that_was_followed_must_be_durable():
-    states = replay_loser(Mutation.FOLLOWED_NOT_SAVED)
-    assert len(states) == len(LOSER_WITH_A_MAJORITY) + 1
+    states = replay_stale_candidate(Mutation.FOLLOWED_NOT_SAVED)
+    assert len(states) == len(STALE_CANDIDATE_TRACE) + 1
     assert [len(leases(state)) for state in states[-3:]] == [1, 1, 2]
-    followed = replay_loser(Mutation.NONE)
-    assert LOSER_WITH_A_MAJORITY[len(followed) - 1] == "a supports b in term 2"
+    states_without_fault = replay_stale_candidate(Mutation.NONE)
+    assert (
+        STALE_CANDIDATE_TRACE[len(states_without_fault) - 1] == "a supports b in term 2"
+    )
 
 
 def test_a_former_leader_resumes_although_voters_wait():
