--- a/berylnotch/standins/fleet.py
+++ b/berylnotch/standins/fleet.py
@@ -44,7 +44,7 @@
     """A condition did not become true in time, or a command was refused."""
 
 
-def wait_for(condition: Callable[[], object], what: str) -> object:
+def wait_for(condition: Callable[[], object], description: str) -> object:
     """Poll ``condition`` until its result is true, and return the result.
 
     Raises
@@ -58,7 +58,7 @@
         if result:
             return result
         time.sleep(_POLL_INTERVAL_S)
-    raise ConditionError(f"waited {WAIT_LIMIT_S:.0f} s without success: {what}")
+    raise ConditionError(f"waited {WAIT_LIMIT_S:.0f} s without success: {description}")
 
 
 class LocalFleet:
@@ -104,9 +104,9 @@
     def controllers(self) -> dict[str, str]:
         """Addresses of the controllers by name."""
         return {
-            controller: address
-            for controller, address in self._listen_addresses.items()
-            if controller.startswith("c")
+            name: address
+            for name, address in self._listen_addresses.items()
+            if name.startswith("c")
         }
 
     @property
--- a/soak/run.py
+++ b/soak/run.py
@@ -186,7 +186,7 @@
                 self._observations.record_acked_version(version)
             time.sleep(rng.uniform(0.1, 0.4))
 
-    # Faults.
+    # Faults. The names of the fault methods are the keys of the printed counts.
 
     def _inject_faults(self) -> None:
         started = time.monotonic()
@@ -262,7 +262,7 @@
         self._restart(process)
 
     def _wipe(self) -> None:
-        """Delete the disk of a controller; a group of three tolerates one such loss."""
+        """Simulate the loss of a controller's disk; a group of three tolerates one loss."""
         self._has_lost_disk = True
         controller = self._rng.choice(self._fleet.controllers)
         controller.kill()
@@ -277,7 +277,7 @@
         self._inject_proxy_fault(self._rng.choice(list(self._target_proxies.values())))
 
     def _links_cut(self) -> None:
-        """Disturb the links of routers and other controllers to one controller."""
+        """Inject a fault into the links of routers and controllers to one controller."""
         self._inject_proxy_fault(self._rng.choice(self._link_proxies))
 
     def _inject_proxy_fault(self, proxy: FaultProxy) -> None:
--- a/spec/fencing.py
+++ b/spec/fencing.py
@@ -43,8 +43,9 @@
 
     ``lease_ticks`` is the remaining lease time of the old leader.
     ``ticks_since_election`` is -1 until the successor is elected.
-    ``old_leader_step`` is the state of the old leader's order, and ``engine`` names
-    the leader whose order the engine executed last.
+    ``old_leader_step`` is the progress of the old leader in sending its order: idle,
+    connecting, connected or sent. ``engine`` names the leader whose order the engine
+    executed last.
     """
 
     lease_ticks: int
--- a/spec/replication.py
+++ b/spec/replication.py
@@ -126,7 +126,7 @@
 
 
 def with_item(pairs: frozenset, key: object, value: object) -> frozenset:
-    return frozenset(p for p in pairs if p[0] != key) | {(key, value)}
+    return frozenset(pair for pair in pairs if pair[0] != key) | {(key, value)}
 
 
 def with_replica(state: State, name: str, replica: Replica) -> State:
@@ -159,7 +159,9 @@
     }
     return State(
         state.replicas,
-        frozenset(v for v in state.votes if has_role(v[2], v[0], Role.CANDIDATE)),
+        frozenset(
+            vote for vote in state.votes if has_role(vote[2], vote[0], Role.CANDIDATE)
+        ),
         frozenset(leaderships),
         frozenset(ack for ack in state.acks if ack[0] in leading_terms),
         *state[4:],
@@ -314,7 +316,7 @@
         self, state: State, name: str, replica: Replica
     ) -> Iterator[Step]:
         log = replica.log
-        changes = [at for at, entry in enumerate(log, 1) if entry.voters]
+        changes = [index for index, entry in enumerate(log, 1) if entry.voters]
         if len(log) == self._bounds.entries or len(changes) == self._bounds.changes:
             return
         commit = dict(state.leaderships)[replica.term].commit
@@ -337,7 +339,12 @@
         for name, _ in state.replicas:
             yield voters ^ {name}
         if self._mutation is Mutation.TWO_AT_ONCE:
-            yield from (voters - {x, y} for x in voters for y in voters if x < y)
+            yield from (
+                voters - {first, second}
+                for first in voters
+                for second in voters
+                if first < second
+            )
 
     def _acknowledge_entries(
         self, state: State, name: str, replica: Replica
--- a/tests/test_spec/test_models.py
+++ b/tests/test_spec/test_models.py
@@ -17,15 +17,15 @@
     return [mutation for mutation in mutations if mutation.name != "NONE"]
 
 
-def test_a_claimed_request_runs_at_most_once():
+def test_claimed_request_runs_at_most_once():
     assert holds(claims())
 
 
-def test_no_window_is_charged_more_than_burst_and_rate():
+def test_charges_of_every_window_stay_within_burst_and_rate():
     assert holds(grants())
 
 
-def test_a_finished_order_is_not_undone_by_an_older_leader():
+def test_finished_order_is_not_undone_by_former_leader():
     assert holds(fencing())
 
 
--- a/tests/test_spec/test_replication.py
+++ b/tests/test_spec/test_replication.py
@@ -71,7 +71,7 @@
     assert "loses its disk" in " ".join(counterexample(model))
 
 
-EARLY_CHANGE = (
+EARLY_CHANGE_TRACE = (
     "a changes the voters to ['a', 'c', 'd']",
     "b asks for votes in term 2",
     "c votes for b in term 2",
@@ -93,12 +93,12 @@
 def replay_early_change(mutation):
     """Return the states of a membership change before an entry of the own term."""
     bounds = Bounds(tuple("abcd"), terms=3, entries=2, changes=1)
-    return replay(Replication(bounds, mutation).protocol(), EARLY_CHANGE)
+    return replay(Replication(bounds, mutation).protocol(), EARLY_CHANGE_TRACE)
 
 
-def test_change_before_an_own_commit_is_unsafe():
+def test_membership_change_before_commit_in_own_term_is_unsafe():
     states = replay_early_change(Mutation.CHANGE_TOO_EARLY)
-    assert len(states) == len(EARLY_CHANGE) + 1
+    assert len(states) == len(EARLY_CHANGE_TRACE) + 1
     assert states[-1].overwritten
     assert not any(state.overwritten for state in states[:-1])
     assert len(replay_early_change(Mutation.NONE)) == 1
--- a/tests/test_spec/test_resumption.py
+++ b/tests/test_spec/test_resumption.py
@@ -16,7 +16,7 @@
         pytest.param(Bounds(terms=2, restarts=1, removals=1), id="members"),
     ],
 )
-def test_only_one_lease_stands_in_every_state(bounds):
+def test_at_most_one_lease_is_valid_in_every_state(bounds):
     assert holds(Resumption(bounds).protocol())
 
 
@@ -72,7 +72,7 @@
     return replay(Resumption(bounds, mutation).protocol(), STALE_CANDIDATE_TRACE)
 
 
-def test_the_leader_that_was_followed_must_be_durable():
+def test_followed_leader_must_be_durable():
     states = replay_stale_candidate(Mutation.FOLLOWED_NOT_SAVED)
     assert len(states) == len(STALE_CANDIDATE_TRACE) + 1
     assert [len(leases(state)) for state in states[-3:]] == [1, 1, 2]
@@ -82,7 +82,7 @@
     )
 
 
-def test_a_former_leader_resumes_although_voters_wait():
+def test_former_leader_resumes_while_voters_withhold_votes():
     labels = (
         "b answers a in term 1",
         "a restarts",
--- a/tests/test_standins/test_engine.py
+++ b/tests/test_standins/test_engine.py
@@ -22,7 +22,7 @@
     return openai.OpenAI(api_key="any", base_url=url, max_retries=0)
 
 
-def test_openai_client_streams_and_asks_for_whole_answers(client):
+def test_openai_client_reads_streams_and_complete_responses(client):
     arguments = {key: BODY[key] for key in ("model", "messages", "max_tokens")}
     whole = client.chat.completions.create(**arguments)
     options = {"include_usage": True}
@@ -62,7 +62,7 @@
         engine.call(CHAT, BODY)
 
 
-def test_faults_of_the_sequence_and_the_echo(engine):
+def test_faults_of_event_sequence_and_request_id(engine):
     engine.faults(skip_event=2, repeat_event=3, wrong_request_id=True, times=1)
     _, headers, body = engine.call(CHAT, BODY, {"x-request-id": "r1"})
     assert b"id: 2\n" not in body
@@ -71,7 +71,7 @@
     assert engine.call(CHAT, BODY, {"x-request-id": "r1"})[1]["x-request-id"] == "r1"
 
 
-def test_refusal_says_not_run(engine):
+def test_refusal_is_marked_as_not_run(engine):
     engine.faults(refuse=True)
     status, headers, _ = engine.call(CHAT, BODY)
     assert (status, headers["x-not-run"]) == (503, "1")
@@ -93,7 +93,7 @@
     wait_until(is_back)
 
 
-def test_closed_connection_cancels_the_work(engine):
+def test_closed_connection_cancels_the_run(engine):
     connection = http.client.HTTPConnection(engine.address, timeout=20)
     body = '{"model": "sake-1", "prompt": "a", "max_tokens": 100000, "stream": true}'
     connection.request("POST", "/v1/completions", body)
@@ -113,7 +113,7 @@
     assert engine.call(CHAT, BODY)[1]["x-weights"] == "v2"
 
 
-def test_cache_events_tell_of_new_pieces_once_for_each_scope(engine):
+def test_cache_events_report_new_blocks_once_per_scope(engine):
     earlier = engine.json("/standin/cache-events")["last"]
     body = {"model": "sake-1", "prompt": "x" * 2500, "max_tokens": 1}
     for scope in ("a", "a", "b"):
@@ -125,7 +125,7 @@
     )
 
 
-def test_credential_is_required_and_seen_headers_recorded():
+def test_credential_is_required_and_headers_are_recorded():
     with run_stand_in("engine", "--credential", "T", "--first-ms", "0") as engine:
         assert engine.call(CHAT, BODY)[0] == 401
         headers = {"authorization": "Bearer T", "x-priority": "2"}
--- a/tests/test_standins/test_plain.py
+++ b/tests/test_standins/test_plain.py
@@ -13,7 +13,7 @@
     assert desk.json("/stock")["bottles"] == 1200
 
 
-def test_a_run_whose_answer_is_lost_is_counted(desk):
+def test_run_with_lost_response_is_counted(desk):
     desk.faults(close_before_answer=True)
     with pytest.raises(OSError):
         desk.call("/orders", {"order": "lost"})
