--- a/soak/run.py
+++ b/soak/run.py
@@ -262,7 +262,7 @@
         self._restart(process)
 
     def _wipe(self) -> None:
-        """Simulate the loss of a controller's disk; a group of three tolerates one loss."""
+        """Delete a controller's disk; a group of three tolerates one such loss."""
         self._has_lost_disk = True
         controller = self._rng.choice(self._fleet.controllers)
         controller.kill()
@@ -277,7 +277,7 @@
         self._inject_proxy_fault(self._rng.choice(list(self._target_proxies.values())))
 
     def _links_cut(self) -> None:
-        """Inject a fault into the links of routers and controllers to one controller."""
+        """Inject a fault into the links of other processes to one controller."""
         self._inject_proxy_fault(self._rng.choice(self._link_proxies))
 
     def _inject_proxy_fault(self, proxy: FaultProxy) -> None:
