--- a/berylnotch/admission/backlog.py
+++ b/berylnotch/admission/backlog.py
@@ -12,7 +12,7 @@
 #: Shortest time with a backlog from which a service rate is derived, in seconds.
 MIN_BACKLOGGED_S = 0.5
 
-#: Entry number of an organisation that has no entry in a heap of the queue.
+#: Entry number of an organisation that has no entry in a heap of `FairQueue`.
 NO_ENTRY = -1
 
 
@@ -57,7 +57,7 @@
 
     @property
     def n_stored(self) -> int:
-        """Number of requests in memory, including removed ones not yet dropped."""
+        """Number of requests in memory, including removed ones to be dropped later."""
         return len(self._tickets)
 
     def add(self, now: float, ticket: Ticket) -> None:
--- a/berylnotch/daemon/router/follower.py
+++ b/berylnotch/daemon/router/follower.py
@@ -20,17 +20,17 @@
 
 #: Longest time in milliseconds for which a source may delay its reply.
 SYNC_WAIT_MS = 400
-#: Timeout in seconds for a reply, added to the time for which the source may delay it.
-#: It is shorter than a freshness lease, so that another source can be asked before the
-#: lease ends.
+#: Timeout in seconds for a reply, added to the time for which the source may delay the
+#: reply. The timeout is shorter than a freshness lease, so that another source can be
+#: asked before the lease ends.
 _REPLY_TIMEOUT_S = 0.6
 #: Timeout in seconds for the first reply, which may hold a large snapshot.
 _FIRST_REPLY_TIMEOUT_S = 5.0
 #: Delay in seconds before the next source is asked after a failure, and shortest
 #: interval between requests.
 _RETRY_DELAY_S = 0.05
-#: Consecutive replies that do not confirm the view after which the follower switches to
-#: the next source.
+#: Number of consecutive replies without a confirmation of the view after which the
+#: follower switches to the next source.
 _MAX_STALE_REPLIES = 2
 
 
@@ -125,8 +125,8 @@
 
     def _schedule_request(self, sent_at: float) -> None:
         # Sources that answer immediately must not cause a busy loop.
-        elapsed = time.monotonic() - sent_at
-        self._loop.call_later(max(_RETRY_DELAY_S - elapsed, 0.0), self._send_request)
+        elapsed_s = time.monotonic() - sent_at
+        self._loop.call_later(max(_RETRY_DELAY_S - elapsed_s, 0.0), self._send_request)
 
     def _process_reply(self, sent_at: float, reply: SyncReply) -> None:
         if reply.group and not self._view.group:
--- a/berylnotch/daemon/router/router.py
+++ b/berylnotch/daemon/router/router.py
@@ -1,4 +1,7 @@
-"""Router process: callers' requests, control state, heartbeats and metrics."""
+"""Router process.
+
+It serves callers and metrics, follows the control state and sends heartbeats.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +54,7 @@
 
 
 class Router:
-    """Router process; one event loop serves the control state, streams and sockets.
+    """Router process; one event loop handles the control state, streams and sockets.
 
     Parameters
     ----------
@@ -167,9 +170,10 @@
     def _make_follower(self) -> Follower:
         settings = self._settings
         controllers = [c.address for c in settings.controllers]
-        # Routers start with different controllers, so that no controller serves all.
-        shift = sum(settings.name.encode()) % max(len(controllers), 1)
-        sources = controllers[shift:] + controllers[:shift]
+        # Routers start with different controllers, so that no single controller serves
+        # all routers.
+        offset = sum(settings.name.encode()) % max(len(controllers), 1)
+        sources = controllers[offset:] + controllers[:offset]
         own_address = settings.listen
         sources += [r.address for r in settings.routers if r.address != own_address]
         return Follower(
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -33,20 +33,21 @@
 #: Maximum size, in bytes, of a response that is not a stream.
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
-#: Back-off, in seconds, after a target refuses a request because it is full and names
-#: no back-off itself.
+#: Back-off, in seconds, after a target refuses a request because it is full and
+#: specifies no back-off.
 FULL_TARGET_BACKOFF_S = 0.15
 
 #: Back-off, in seconds, after a target refuses a request because it is not the expected
-#: target or runs other weights. The leader has newer information by then.
+#: target or runs other weights. The leader has newer information by the end of the
+#: back-off.
 MISDIRECTED_BACKOFF_S = 0.4
 
 #: Seconds until the next attempt to migrate a run that no engine has taken over. Also
 #: the interval of the timeout check while a migration is in progress.
 MIGRATION_RETRY_S = 0.8
 
-#: Number of engines that are asked to take over a run before that pause: if two engines
-#: have no room, the others are full as well.
+#: Number of engines that are asked to take over a run before the router waits for
+#: ``MIGRATION_RETRY_S``: if two engines have no room, the others are full as well.
 MAX_MIGRATION_TARGETS = 2
 
 
@@ -264,7 +265,7 @@
             self._on_stream_complete()
             return
         if status in (408, 421, 429, 503):
-            # For a caller these statuses promise that the request has not run.
+            # To a caller these statuses mean that the request has not run.
             self._report_end(
                 AttemptEnd.BROKEN,
                 f"status {status} without the header for requests that did not run",
@@ -298,7 +299,8 @@
         target.ejection.on_failure(now, self._attempt_id)
         target.note_outcome(has_failed=True)
         if failure is Failure.NOT_SENT:
-            # No process listens there any more, and its prefix cache is lost.
+            # No process listens at the target's address any more, and the target's
+            # prefix cache is lost.
             self._context.prompts.forget_engine(target.target_id)
         self._context.log.warning(
             "attempt_failed",
@@ -315,7 +317,7 @@
             self._report_end(AttemptEnd.BROKEN, reason, is_lost=True)
 
     def _start_migration(self) -> None:
-        """Migrate the run to another engine, so that its engine is free sooner."""
+        """Migrate the run to another engine, so that this target is free sooner."""
         now = boot_time()
         is_due = (
             self._is_long and self._migration is None and now >= self._next_migration_at
@@ -336,15 +338,17 @@
         )
         self._migration.start()
 
-    def _on_migration_end(self, moved: StoppedRun | None, is_sure: bool) -> None:
+    def _on_migration_end(
+        self, stopped_run: StoppedRun | None, is_certain: bool
+    ) -> None:
         migration, self._migration = self._migration, None
-        if moved is not None:
+        if stopped_run is not None:
             self._target.ejection.on_success(self._attempt_id, self._sent_at)
             self._release_target()
             self._connection.close()
-            self._report_end(AttemptEnd.MOVED, "", moved=moved)
+            self._report_end(AttemptEnd.MOVED, "", stopped_run=stopped_run)
             return
-        self._may_have_stopped = not is_sure
+        self._may_have_stopped = not is_certain
         if migration.stream_end is not None:
             migration.stream_end()
 
@@ -398,11 +402,11 @@
         end: AttemptEnd,
         reason: str,
         is_lost: bool = False,
-        moved: StoppedRun | None = None,
+        stopped_run: StoppedRun | None = None,
     ) -> None:
         self._count_result(end.value.replace(" ", "-"))
         status = self._head.status if self._head else 0
         result = AttemptResult(
-            self._target, end, reason, status, is_lost=is_lost, moved=moved
+            self._target, end, reason, status, is_lost=is_lost, moved=stopped_run
         )
         self._owner.on_attempt_end(result)
--- a/berylnotch/entry/migration.py
+++ b/berylnotch/entry/migration.py
@@ -29,7 +29,8 @@
 #: attempt may be lost.
 MAX_STOP_ATTEMPTS = 2
 
-#: Seconds after a run is known to have stopped in which its last events may arrive.
+#: Time, in seconds, to wait for the last events of a run after the run is known to have
+#: stopped.
 LAST_EVENTS_WAIT_S = 0.1
 
 
@@ -95,7 +96,7 @@
         self._has_ended = False
         self._handle = ""
         self._stop_attempts = 0
-        self._moved: StoppedRun | None = None
+        self._stopped_run: StoppedRun | None = None
         #: Handles the end of a stream that ended during the migration.
         self._stream_end: Callable[[], None] | None = None
 
@@ -109,22 +110,24 @@
         self._send(self._move_request(stops_run=False), self._on_copy_answer)
 
     def hold(self, stream_end: Callable[[], None]) -> None:
-        """Defer the end of the run's stream until it is known whether it stopped."""
+        """Defer the end of the stream until it is known whether the run stopped."""
         self._stream_end = stream_end
-        if self._moved is not None:
-            self._end(self._moved, is_sure=True)
+        if self._stopped_run is not None:
+            self._end(self._stopped_run, is_certain=True)
 
     def cancel(self) -> None:
         """Abandon the migration because the request has ended, and free any copy."""
         if not self._has_ended:
             self._has_ended = True
-            self._free_copy(self._moved.handle if self._moved else self._handle)
+            self._free_copy(
+                self._stopped_run.handle if self._stopped_run else self._handle
+            )
 
     def _on_copy_answer(self, answer: MoveAnswer | None) -> None:
         if self._has_ended:
             self._free_copy(answer.handle if answer else "")
         elif answer is None or not answer.is_copied:
-            self._end(None, is_sure=True, status=answer.status if answer else 0)
+            self._end(None, is_certain=True, status=answer.status if answer else 0)
         else:
             self._handle = answer.handle
             self._stop_run()
@@ -140,29 +143,32 @@
             if self._stop_attempts < MAX_STOP_ATTEMPTS:
                 self._stop_run()
             else:
-                self._end(None, is_sure=False)
+                self._end(None, is_certain=False)
         elif not answer.handle:
-            self._end(None, is_sure=True, status=answer.status)
+            self._end(None, is_certain=True, status=answer.status)
         else:
             destination = self._destination if answer.is_copied else self._source
-            self._moved = StoppedRun(self._source, destination, answer.handle)
+            self._stopped_run = StoppedRun(self._source, destination, answer.handle)
             if self._stream_end is not None:
-                self._end(self._moved, is_sure=True)
+                self._end(self._stopped_run, is_certain=True)
             else:
                 self._context.loop.call_later(
-                    LAST_EVENTS_WAIT_S, lambda: self._end(self._moved, is_sure=True)
+                    LAST_EVENTS_WAIT_S,
+                    lambda: self._end(self._stopped_run, is_certain=True),
                 )
 
-    def _end(self, moved: StoppedRun | None, is_sure: bool, status: int = 200) -> None:
+    def _end(
+        self, stopped_run: StoppedRun | None, is_certain: bool, status: int = 200
+    ) -> None:
         if self._has_ended:
             return
         self._has_ended = True
         result = "unknown"
-        if is_sure:
-            result = "moved" if moved is not None else "stayed"
+        if is_certain:
+            result = "moved" if stopped_run is not None else "stayed"
         self._context.metrics.count("berylnotch_moves_total", Label("result", result))
         self._context.log.info(
-            "run_moved" if moved is not None else "run_not_moved",
+            "run_moved" if stopped_run is not None else "run_not_moved",
             id=self._request_id,
             target=self._source.target_id,
             to=self._destination.target_id,
@@ -170,9 +176,9 @@
             status=status,
             calls=self._stop_attempts,
         )
-        if moved is None:
+        if stopped_run is None:
             self._free_copy(self._handle)
-        self._on_end(moved, is_sure)
+        self._on_end(stopped_run, is_certain)
 
     def _move_request(self, stops_run: bool) -> HttpRequest:
         host, to = self._source.listed.address, self._destination.listed.address
--- a/berylnotch/keys/freshness.py
+++ b/berylnotch/keys/freshness.py
@@ -22,7 +22,7 @@
         self._confirmed_at: float | None = None
 
     def observe(self, sent_at: float, age_ms: int) -> None:
-        """Record an answer whose events have been applied.
+        """Record the age that a reply reports, once the reply's state has been applied.
 
         Parameters
         ----------
@@ -30,8 +30,8 @@
             Monotonic time in seconds at which the request was *sent*, so that the
             round trip counts towards the age.
         age_ms : int
-            Upper bound of the age of the state at the answer, in milliseconds;
-            negative if no leader has confirmed it.
+            Upper bound of the age of the state when the reply was sent, in
+            milliseconds; negative if no leader has confirmed the state.
         """
         if age_ms < 0:
             return
--- a/berylnotch/keys/keyring.py
+++ b/berylnotch/keys/keyring.py
@@ -70,7 +70,7 @@
 
 
 def hash_key(secret: bytes, key: str) -> bytes:
-    """Return the keyed hash of a key in the form that a caller sends."""
+    """Return the keyed hash of a key, where ``key`` is the form that callers send."""
     return hash_digest(secret, digest_key(key))
 
 
--- a/berylnotch/standins/engine.py
+++ b/berylnotch/standins/engine.py
@@ -58,7 +58,7 @@
 
 @frozen
 class RecordedRequest:
-    """Request as the stand-in received it."""
+    """Request as the simulated engine received it."""
 
     path: str
     headers: dict[str, str]
@@ -80,7 +80,7 @@
         self._fence = 0
         self._is_loading = False
         self._is_leaving = False
-        self._order_count = 0
+        self._last_load_number = 0
         self._routes: dict[tuple[str, str], Callable[[Connection, Request], None]] = {
             ("POST", "/v1/chat/completions"): self._generate,
             ("POST", "/v1/completions"): self._generate,
@@ -236,20 +236,20 @@
             return
         if not self._faults.current.ignore_orders:
             self._fence = max(self._fence, fence)
-            self._start_load(version)
+            self._start_loading_weights(version)
         self._respond(connection, {"fence": self._fence, "version": version})
 
-    def _start_load(self, version: str) -> None:
-        self._order_count += 1
+    def _start_loading_weights(self, version: str) -> None:
+        self._last_load_number += 1
         self._is_loading = True
-        order_number = self._order_count
+        load_number = self._last_load_number
         self.loop.call_later(
             self._settings.load_ms / 1000,
-            lambda: self._finish_load(order_number, version),
+            lambda: self._finish_loading_weights(load_number, version),
         )
 
-    def _finish_load(self, order_number: int, version: str) -> None:
-        if order_number != self._order_count:
+    def _finish_loading_weights(self, load_number: int, version: str) -> None:
+        if load_number != self._last_load_number:
             return
         self._is_loading = False
         self._weights = version
--- a/berylnotch/standins/runs.py
+++ b/berylnotch/standins/runs.py
@@ -48,7 +48,8 @@
 class Job:
     """Request that is running or queued.
 
-    ``cache_prompt`` caches the prompt and returns the number of uncached blocks.
+    ``after_event`` is the number of the event after which a resumed response continues,
+    or 0. ``cache_prompt`` caches the prompt and returns the number of uncached blocks.
     """
 
     generation: Generation
@@ -133,7 +134,7 @@
         self._writer = EventWriter(job.generation)
         self._event_number = job.after_event
         self._sent_events = 0
-        self._due_s = 0.0
+        self._due_at = 0.0
         self._timer: Timer | None = None
         first_token_ms = (
             settings.first_token_ms + settings.uncached_block_ms * job.cache_prompt()
@@ -145,10 +146,10 @@
         self._job.connection.on_close = self._release_slot
         if self._job.faults.hang:
             return
-        self._due_s = time.monotonic() + self._first_token_s
+        self._due_at = time.monotonic() + self._first_token_s
         if not self._job.generation.stream:
-            self._due_s += self._interval_s * self._job.generation.tokens
-        self._timer = self._loop.call_at(self._due_s, self._start_response)
+            self._due_at += self._interval_s * self._job.generation.tokens
+        self._timer = self._loop.call_at(self._due_at, self._start_response)
 
     def _start_response(self) -> None:
         faults = self._job.faults
@@ -207,8 +208,8 @@
         self._job.connection.send(b"%x\r\n%b\r\n" % (len(data), data))
 
     def _schedule_next_event(self) -> None:
-        self._due_s += self._interval_s
-        self._timer = self._loop.call_at(self._due_s, self._send_next_event)
+        self._due_at += self._interval_s
+        self._timer = self._loop.call_at(self._due_at, self._send_next_event)
 
     def _finish_stream(self) -> None:
         data = self._writer.end()
--- a/berylnotch/standins/texts.py
+++ b/berylnotch/standins/texts.py
@@ -14,7 +14,8 @@
 class SmallFleet:
     """Content of the configuration text of a small fleet.
 
-    ``routers``, ``engines`` and ``plain`` hold pairs of name and address.
+    ``routers``, ``engines`` and ``plain`` (targets of the plain service) hold pairs of
+    name and address.
     """
 
     routers: tuple[tuple[str, str], ...]
