--- a/berylnotch/cmd/daemon.py
+++ b/berylnotch/cmd/daemon.py
@@ -31,7 +31,7 @@
 
 #: Seconds that a thread may hold the global interpreter lock while another thread waits
 #: for it. A router's event loop releases the lock on each send. With Python's default
-#: of 5 ms, it would wait that long for the lock whenever a pool thread is computing.
+#: of 5 ms, the loop would wait 5 ms for the lock whenever a pool thread is computing.
 ROUTER_SWITCH_INTERVAL_S = 0.0002
 
 
--- a/berylnotch/gateways/plain.py
+++ b/berylnotch/gateways/plain.py
@@ -1,4 +1,7 @@
-"""Requests to plain services and the heads of their responses."""
+"""Requests to plain services and the heads of their responses.
+
+The targets of a plain service are neither engines nor KV stores.
+"""
 
 from __future__ import annotations
 
--- a/berylnotch/gateways/transfers.py
+++ b/berylnotch/gateways/transfers.py
@@ -1,4 +1,4 @@
-"""HTTP transfers by pycurl in the event loop."""
+"""HTTP transfers with pycurl in the event loop."""
 
 from __future__ import annotations
 
@@ -34,7 +34,8 @@
     Parameters
     ----------
     error : str
-        Description of the failure; empty if HTTP shows the response to be complete.
+        Description of the failure; empty if the response is complete as its HTTP
+        framing declares.
     sent : bool
         Whether any byte of the request may have reached the target.
     """
@@ -123,7 +124,8 @@
         )
         self._transfers[transfer.curl] = transfer
         self._multi.add_handle(transfer.curl)
-        # Starts to connect and send now, not when curl's timer expires.
+        # This call starts to connect and send at once; otherwise curl would start when
+        # its timer expires.
         self._drive_curl(pycurl.SOCKET_TIMEOUT, 0)
         return transfer
 
@@ -288,7 +290,7 @@
     curl.setopt(pycurl.FOLLOWLOCATION, 0)
     curl.setopt(pycurl.PROTOCOLS, pycurl.PROTO_HTTP | pycurl.PROTO_HTTPS)
     if request.method not in _CONNECTION_REUSE_METHODS:
-        # curl silently repeats a request whose reused connection turns out closed.
+        # curl silently repeats a request if the connection that it reused was closed.
         # The request would run twice, and the router would not notice that a target
         # was lost.
         curl.setopt(pycurl.FRESH_CONNECT, 1)
--- a/berylnotch/group/columns.py
+++ b/berylnotch/group/columns.py
@@ -2,7 +2,9 @@
 
 The leader sends these messages several times a second. They refer to targets by small
 numbers, which the leader assigns and sends with its target updates. Load sums are
-columns indexed by these numbers. Prompt notes are records of a fixed size.
+columns indexed by these numbers. Prompt notes, which tell where a prompt prefix is or
+will be cached, are records of a fixed size. Unread tokens are prompt tokens that a
+target has not prefilled yet.
 """
 
 from __future__ import annotations
@@ -32,18 +34,19 @@
 #: to about 980,000 tokens, each decoded value is within 2.2% of the encoded sum.
 STEPS_PER_DOUBLING = 16
 
-#: Largest value of one unsigned byte and of two.
+#: Largest unsigned integers of one byte and of two bytes.
 _MAX_UINT8, _MAX_UINT16 = 0xFF, 0xFFFF
 
-#: First of the numbers that refer to a store listed in the same message instead of a
-#: target.
+#: Lowest number that refers to a store instead of a target. The stores are listed in
+#: the same message.
 _FIRST_STORE_NUMBER = 0xFF00
 
 #: Fields of a note: prompt, number of the holder, shared tokens, own tokens, unread
 #: tokens, whether the prompt is ready. Token counts are in `TOKEN_UNIT`.
 _NOTE_STRUCT = struct.Struct("<IHHHHB")
 
-#: Numbering of a router that knows no numbers; no leader uses it.
+#: Identity of the numbering at a router that has received no numbers; leaders never
+#: choose this value.
 NO_NUMBERING = 0
 
 
@@ -91,7 +94,7 @@
 
 
 class NumberedTargets:
-    """Targets of the leader's numbers, as known to a router."""
+    """Targets by the leader's numbers, as known to a router."""
 
     def __init__(self) -> None:
         self._numbering = NO_NUMBERING
@@ -100,7 +103,8 @@
     def store_numbers(self, update: TargetsUpdate) -> None:
         """Store the numbers of an update's targets.
 
-        Earlier numbers are discarded if the numbering changed or the update is whole.
+        Earlier numbers are discarded if the numbering changed or the update contains
+        all targets.
         """
         if update.numbering != self._numbering or update.is_whole:
             self._numbering, self._names = update.numbering, {}
@@ -184,7 +188,7 @@
 
 
 def note_key(note: PromptNote) -> tuple[int, str, bool, int]:
-    """Return the key by which a router recognises its own note from the leader.
+    """Return the key by which a router recognises its own note in a leader's message.
 
     Own tokens are no part of the key, since the leader may add the own tokens of notes
     that it did not forward.
--- a/berylnotch/group/settings.py
+++ b/berylnotch/group/settings.py
@@ -23,9 +23,9 @@
         counted among the voters that are present. It is longer than a usual restart.
     replace_after_s : float, default=3.0
         The same limit if the group has a spare voter, because a new member has caught
-        up to replace the silent one. It is also the limit for learners.
+        up to replace the unresponsive voter. It is also the limit for learners.
     min_voters : int, default=3
-        Number of voters at or below which no silent voter is removed.
+        Number of voters at or below which no unresponsive voter is removed.
     """
 
     join_retry_s: float = 0.3
--- a/berylnotch/ledger/ledger.py
+++ b/berylnotch/ledger/ledger.py
@@ -106,7 +106,7 @@
         return opened
 
     def close(self, at_ms: int, command: CloseClaim) -> ClaimRecord:
-        """Record the outcome of a claimed run.
+        """Record the outcome of a claimed request.
 
         An outcome that arrives after the router was considered lost replaces UNKNOWN,
         because the attempt itself has the most reliable information. A claim that an
--- a/berylnotch/membership/inventory.py
+++ b/berylnotch/membership/inventory.py
@@ -1,4 +1,4 @@
-"""The leader's state of all targets: the target list and newer engine reports."""
+"""The leader's record of all targets: the target list and newer engine reports."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 class _ReportedWeights:
     """Version that an engine reported.
 
-    ``reported_at`` is the time of the report in seconds, ``born_ms`` the listed start
-    of the engine at that time.
+    ``reported_at`` is the time of the report in seconds, ``born_ms`` the start time of
+    the engine in the target list at the time of the report.
     """
 
     version: ModelVersion
@@ -36,7 +36,7 @@
 
 
 class TargetInventory:
-    """Targets by identity, with the weights loads in progress."""
+    """Targets by identity, and the targets that are loading weights."""
 
     def __init__(self) -> None:
         self._targets: dict[str, ListedTarget] = {}
@@ -58,7 +58,7 @@
         return frozenset(self._loading)
 
     def targets(self) -> tuple[ListedTarget, ...]:
-        """Return all targets, with the weights that they run as far as known."""
+        """Return all targets, with the weights that they run if these are known."""
         return tuple(self._targets[name] for name in sorted(self._targets))
 
     def entries(self) -> tuple[TargetEntry, ...]:
@@ -94,7 +94,7 @@
     def announced_leaving(self) -> frozenset[str]:
         """Return the targets that announced that they leave.
 
-        The state in the target list does not count.
+        Targets that are leaving only according to the target list are not included.
         """
         if not self._leaving_reports:
             return frozenset()
@@ -158,7 +158,7 @@
         self._targets[target_id] = self._apply_engine_report(now, target)
 
     def _is_current(self, notice: LeavingWord) -> bool:
-        """Tell whether a notice belongs to the listed start of its target."""
+        """Tell whether a notice has its target's start time in the target list."""
         target = self._targets.get(notice.target_id)
         return target is not None and target.born_ms == notice.born_ms
 
--- a/berylnotch/membership/marks.py
+++ b/berylnotch/membership/marks.py
@@ -1,10 +1,10 @@
-"""Losses of targets that other routers reported, by the request that ran."""
+"""Targets that other routers reported as lost while a request ran on them."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-#: Largest number of requests whose losses are kept.
+#: Largest number of requests for which lost targets are kept.
 MAX_FINGERPRINTS = 1024
 
 
--- a/berylnotch/placement/chains.py
+++ b/berylnotch/placement/chains.py
@@ -20,8 +20,8 @@
 MAX_PARTS = 64
 MAX_PART_TOKENS = 4_000_000
 
-#: Number of the deepest shared levels that are looked up and reported to other
-#: routers.
+#: Most levels of a chain; of a longer chain the deepest levels are kept. Each level is
+#: looked up and reported to other routers.
 MAX_LEVELS = 6
 
 
--- a/berylnotch/placement/model.py
+++ b/berylnotch/placement/model.py
@@ -65,7 +65,7 @@
     chain : tuple of bytes
         Prefix hashes, one for each full block of the prompt; empty without
         affinity.
-    prompt_pieces : int
+    prompt_blocks : int
         Blocks in the prompt, including a partial last block.
     failure_domain : str
         Failure domain in which the router runs.
@@ -75,8 +75,8 @@
         Weights version for which the chain was computed; targets with other
         weights are not ranked. Empty if the service has no weights.
     levels : tuple of Level
-        Levels of the chain that select homes, shallowest first; empty for the
-        default level.
+        Depths at which prefixes of the chain select homes, shallowest first; if
+        empty, one home is selected at the depth in the placement settings.
     now : float
         Router's monotonic time in seconds.
     stores : tuple of str
@@ -102,8 +102,8 @@
     name : str
         Name of the target.
     score_ms : float
-        Expected queueing, import and prefill time in ms, with weights and penalties;
-        lower is better.
+        Weighted sum of the expected queueing, import and prefill times in ms, plus
+        penalties; lower is better.
     reason : str
         Components of the score, shown to operators.
     cached_pieces : int
--- a/berylnotch/placement/ring.py
+++ b/berylnotch/placement/ring.py
@@ -1,4 +1,4 @@
-"""Consistent-hash ring by which all routers find the same targets for a key."""
+"""Consistent-hash ring with which all routers find the same targets for a key."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 T = TypeVar("T")
 
 #: Points of each target on the ring. More points spread the keys more evenly.
-POINTS = 16
+POINTS_PER_TARGET = 16
 
 
 class Ring(Generic[T]):
@@ -29,14 +29,14 @@
         points = sorted(
             (_hash(f"{number} {name}"), position)
             for position, (name, _) in enumerate(targets)
-            for number in range(POINTS)
+            for number in range(POINTS_PER_TARGET)
         )
         self._targets = [target for _, target in targets]
         self._hashes = [point for point, _ in points]
         self._positions = [position for _, position in points]
 
     def walk(self, key: str) -> Iterator[T]:
-        """Yield each target once in the key's order, starting with the key's home."""
+        """Yield each target once, in the order of the ring from the key's hash on."""
         start = bisect_left(self._hashes, _hash(key))
         seen = set()
         for step in range(len(self._positions)):
--- a/berylnotch/streams/inputs.py
+++ b/berylnotch/streams/inputs.py
@@ -1,4 +1,4 @@
-"""Inputs, settings and requests that the driver passes to an `Exchange`."""
+"""Inputs, settings and requests that the server passes to an `Exchange`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     max_attempts : int
         Most attempts before the first event.
     max_attempts_total : int
-        Most attempts in all.
+        Most attempts, including those after the first event.
     retry_wait_s, retry_max_wait_s : float
         Back-off before the third consecutive attempt without progress, doubled for
         each further one, and its upper limit. The second attempt starts at once.
@@ -77,7 +77,7 @@
     deadline : float
         Time in seconds after which the request is ended without a response.
     idempotent : bool
-        Whether the request may be run more than once; True for generations.
+        Whether the request may be run more than once; True for text generation.
     stream : bool
         Whether the caller asked for a stream of events.
     echo_required : bool
@@ -87,7 +87,8 @@
     weights : str
         Weights version of that earlier exchange; empty if there was none.
     sign_base : callable
-        Takes the weights version and returns the signed base of the event ids.
+        Takes the weights version and returns the signed part that the
+        stream's event ids begin with (`berylnotch.streams.reference`).
     is_whole : callable
         Takes the body of a response with status 200 and returns whether it is
         complete.
--- a/berylnotch/util/address.py
+++ b/berylnotch/util/address.py
@@ -38,7 +38,7 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         raise ConfigurationError(
-            f"{text!r} is no address; use an IPv4 number and a port, 10.0.0.1:8000"
+            f"{text!r} is no address; use an IPv4 address and a port, 10.0.0.1:8000"
         ) from None
     if not port.isdecimal() or int(port) > 65535:
         raise ConfigurationError(f"port {port!r} of {text!r} is not from 0 to 65535")
--- a/berylnotch/util/loop.py
+++ b/berylnotch/util/loop.py
@@ -41,7 +41,8 @@
 
 
 def _log_error(error: Exception) -> None:
-    # Imported on first use, so that processes with another log do not load loguru.
+    # Imported on first use, so that a process with its own ``on_error`` does not load
+    # loguru.
     from loguru import logger
 
     logger.opt(exception=error).error("event=loop_call_failed")
--- a/berylnotch/util/metrics.py
+++ b/berylnotch/util/metrics.py
@@ -61,8 +61,8 @@
     def timer(self, name: str, *labels: Label) -> Callable[[float], None]:
         """Return a function that records durations, in seconds, in one histogram.
 
-        For frequently recorded durations, where looking up the series on each call
-        would cost too much.
+        The function is meant for durations that are recorded often, because it does
+        not look up the series on each call.
         """
         series = _Series(name, labels)
         with self._lock:
