--- a/berylnotch/consensus/records.py
+++ b/berylnotch/consensus/records.py
@@ -29,7 +29,8 @@
 _ENTRY_HEADER = struct.Struct("<QQB")
 _TERM = struct.Struct("<Q")
 
-#: Separator between the replica ids of a hard state, the vote and the followed leader.
+#: Separator between the two replica ids in a hard state: the id that the vote went to
+#: and the id of the followed leader.
 #: Records of earlier versions have no separator and hold only the vote.
 _NAME_SEPARATOR = "\0"
 
@@ -136,11 +137,11 @@
 
 
 def _read_record(data: bytes, offset: int) -> Record | None:
-    end = offset + _RECORD_HEADER.size
-    if end > len(data):
+    payload_start = offset + _RECORD_HEADER.size
+    if payload_start > len(data):
         return None
     magic, length, crc, record_type = _RECORD_HEADER.unpack_from(data, offset)
-    payload = data[end : end + length]
+    payload = data[payload_start : payload_start + length]
     if magic != RECORD_MAGIC or len(payload) != length:
         return None
     if crc != zlib.crc32(payload, record_type) or record_type not in _RECORD_TYPES:
--- a/berylnotch/net/messages.py
+++ b/berylnotch/net/messages.py
@@ -8,7 +8,7 @@
 from attrs import define, field, frozen
 
 #: Hop-by-hop headers, in lower case; a proxy does not forward them.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "expect",
@@ -66,7 +66,7 @@
 
         Hop-by-hop headers and those that ``Connection`` names are left out.
         """
-        dropped = set(HOP_HEADERS)
+        dropped = set(HOP_BY_HOP_HEADERS)
         for name, value in self._pairs:
             if name.lower() == "connection":
                 dropped.update(part.strip().lower() for part in value.split(","))
@@ -87,7 +87,8 @@
 class HttpRequest:
     """A complete request.
 
-    ``received_at`` is the boot time in seconds at which its first byte was read.
+    ``received_at`` is the time at which its first byte was read, in seconds since the
+    VM started.
     """
 
     method: str
--- a/berylnotch/net/reading.py
+++ b/berylnotch/net/reading.py
@@ -52,7 +52,7 @@
 
     @property
     def started_at(self) -> float:
-        """Boot time of the first byte of the current request; 0 without one."""
+        """Seconds from VM start to the first byte of the request; 0 without one."""
         return self._started_at
 
     @property
@@ -124,8 +124,8 @@
         """Refuse a second request in the bytes given to the parser."""
         if self._is_complete:
             # A pipelined request is buffered and parsed after the current one is
-            # answered. It only gets here if the end of a chunked body was not found,
-            # for example because trailers follow the last chunk.
+            # answered. It reaches the parser only if the end of a chunked body was not
+            # found, for example because trailers follow the last chunk.
             raise UnreadableRequestError(
                 400, "second request before the end of the first"
             )
@@ -184,11 +184,11 @@
             self.pipelined += view
 
     def _count_head_bytes(self, data: bytes) -> int:
-        # The empty line may have begun in the previous segment.
-        starts = [end for end in (1, 2) if self._ends_head(data[:end])]
+        # The empty line may have begun in the data of the previous call.
+        sizes = [size for size in (1, 2) if self._ends_head(data[:size])]
         end = data.find(b"\n\r\n")
-        if starts:
-            size = starts[0]
+        if sizes:
+            size = sizes[0]
         else:
             size = end + 3 if end >= 0 else len(data)
         self._head_bytes += size
--- a/berylnotch/orders/scheduler.py
+++ b/berylnotch/orders/scheduler.py
@@ -20,7 +20,7 @@
 
 @frozen
 class Engine:
-    """An engine as the scheduler sees it.
+    """State of an engine that determines whether it may get an order.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
     service : str
         Service that the engine belongs to.
     version : str
-        Weights version; empty if the engine holds no weights or loads.
+        Weights version; empty if the engine holds no weights or is loading them.
     is_live : bool
         Whether the control state reports the engine as live.
     is_draining : bool
@@ -182,7 +182,8 @@
         for engine in state.engines
         if _is_outdated(engine, state) and engine.service not in blocked
     ]
-    # Engines that do not serve come first: their loads cost no capacity.
+    # Engines that do not serve come first: loading weights on them does not reduce the
+    # capacity of the service.
     yield from sorted(outdated, key=lambda engine: engine.is_serving)
 
 
--- a/berylnotch/orders/state.py
+++ b/berylnotch/orders/state.py
@@ -29,7 +29,7 @@
 
 
 def build_engine(view: View, book: OrderBook, target: Target) -> Engine:
-    """Return a target as the scheduler's engine."""
+    """Return the scheduler's record of an engine, built from the target's state."""
     order = book.orders.get(target.name)
     return Engine(
         name=target.name,
--- a/berylnotch/platform/configuration.py
+++ b/berylnotch/platform/configuration.py
@@ -40,7 +40,7 @@
     Raises
     ------
     InvalidConfigurationError
-        If any part of it cannot be decoded, or it is invalid.
+        If the configuration cannot be decoded or is invalid.
     """
     try:
         values = as_object(parse_json(body), "configuration")
--- a/berylnotch/platform/names.py
+++ b/berylnotch/platform/names.py
@@ -15,7 +15,7 @@
 NOT_RUN = "Berylnotch-Not-Executed"
 RETRY_AFTER = "Retry-After"
 TARGET_ID = "Berylnotch-Instance-Id"
-#: Set to 1 in every response of an engine that is leaving.
+#: Set to 1 in every response of an engine that is draining before it leaves the fleet.
 LEAVING = "Server-Leaving"
 MODEL = "Berylnotch-Model"
 TOKEN_COUNTS = "Berylnotch-Token-Count"
@@ -34,7 +34,7 @@
 AUTHORIZATION_SCHEME = "Bearer"
 
 #: Headers, in lower case, that only this system may set and that are removed from
-#: callers' requests. The last ones control an engine's KV cache, which callers must not
+#: callers' requests. The last four control an engine's KV cache, which callers must not
 #: control.
 SYSTEM_HEADERS = frozenset(
     name.lower()
--- a/berylnotch/platform/stores.py
+++ b/berylnotch/platform/stores.py
@@ -25,7 +25,7 @@
 
 
 def watch_request(host: str, position: int, wait_s: float) -> HttpRequest:
-    """Return a long poll that is answered at the next event or after ``wait_s``.
+    """Return a long-poll request, answered at the next event or after ``wait_s``.
 
     Parameters
     ----------
--- a/berylnotch/quota/bounds.py
+++ b/berylnotch/quota/bounds.py
@@ -28,7 +28,8 @@
 #: new owner's first reply on.
 RESERVED_FRACTION = TAKEOVER_FRACTION / 2
 
-#: Quota settings of a fleet. The grants outlast a change of leader.
+#: Quota settings of a fleet. The lifetime of a grant is longer than a change of leader
+#: takes.
 FLEET_QUOTA = QuotaSettings(
     lifetime_s=7.0,
     ask_interval_s=0.25,
@@ -44,7 +45,10 @@
 
 @frozen
 class EffectiveLimit:
-    """Enforced rate in tokens a second, burst in tokens, and weight."""
+    """Enforced rate in tokens per second and burst in tokens.
+
+    ``share`` is the weight of the organisation.
+    """
 
     rate: float
     burst: float
@@ -57,8 +61,8 @@
     """Return the enforced limit of each organisation that has a rate limit.
 
     The tokens charged in any window stay below rate x window plus burst, increased
-    by the overshoot and the slack. All the headroom above the rate goes into the
-    burst, so that as few permitted requests as possible are refused.
+    by the overshoot and the slack of ``bounds``. All the headroom above the rate goes
+    into the burst, so that as few permitted requests as possible are refused.
     """
     overshoot_factor = 1 + bounds.quota_overshoot
     limits = {}
--- a/berylnotch/quota/settings.py
+++ b/berylnotch/quota/settings.py
@@ -14,8 +14,9 @@
     ----------
     lifetime_s : float, default=2.0
         Lifetime of a grant in seconds, counted by the router from the time at which
-        it sent the request. A longer lifetime bridges longer losses of contact with
-        the owner, but a new owner grants no tokens for this time.
+        it sent the request. With a longer lifetime, routers can charge tokens during
+        longer interruptions of the connection to the owner, but a new owner grants no
+        tokens for this time.
     drift : float, default=0.01
         Largest relative difference in speed between two VMs' monotonic clocks. The
         owner extends the lifetime by this fraction.
--- a/berylnotch/routing/checks.py
+++ b/berylnotch/routing/checks.py
@@ -58,7 +58,7 @@
 
 
 def _check_organisations(configuration: FleetConfiguration) -> None:
-    holders: dict[str, str] = {}
+    names_by_key: dict[str, str] = {}
     names: set[str] = set()
     for organisation in configuration.organisations or ():
         if organisation.name in names:
@@ -67,8 +67,8 @@
             )
         names.add(organisation.name)
         for key in organisation.keys:
-            holder = holders.setdefault(key, organisation.name)
-            if holder != organisation.name:
+            other = names_by_key.setdefault(key, organisation.name)
+            if other != organisation.name:
                 raise InvalidConfigurationError(
-                    f"organisations {holder!r} and {organisation.name!r} share a key"
+                    f"organisations {other!r} and {organisation.name!r} share a key"
                 )
--- a/berylnotch/routing/model.py
+++ b/berylnotch/routing/model.py
@@ -42,21 +42,21 @@
     timeout_s : float
         Longest time that a caller waits, in seconds.
     target_latency_s : float
-        Latency in seconds up to which an answer has its full value; for a stream,
-        the latency of its first event.
+        Latency target in seconds; a later answer is worth less to the caller. For a
+        stream, it applies to the first event.
     priority : int
         Priority; 0 is the most urgent.
     splits : tuple of Split
         Services and their relative weights.
     max_attempts : int
-        Most targets to which one request may be sent.
+        Maximum number of targets to which one request may be sent.
     is_open : bool
         Whether requests are accepted without a key.
     is_resumable : bool
         Whether a stream may be resumed at another target.
     max_gap_s : float
-        Longest gap between two events of a stream, in seconds, that counts as in
-        time.
+        Longest time between two events of a stream, in seconds, for which the second
+        event is still on time.
     """
 
     name: str
@@ -144,7 +144,10 @@
 
 @frozen
 class FleetConfiguration:
-    """One version of the configuration; without keys, ``organisations`` is None."""
+    """One version of the configuration.
+
+    ``organisations`` is None if callers do not need keys.
+    """
 
     version: int
     routes: tuple[Route, ...]
--- a/berylnotch/routing/table.py
+++ b/berylnotch/routing/table.py
@@ -44,11 +44,11 @@
         return self.configuration.organisations is not None
 
     def service(self, name: str) -> Service | None:
-        """Return the service of a name, or None if there is none."""
+        """Return the service with this name, or None if there is none."""
         return self._services.get(name)
 
     def organisation(self, key: str) -> Organisation | None:
-        """Return the organisation of a key, or None if the key is unknown."""
+        """Return the organisation that a key belongs to, or None if it is unknown."""
         return self._by_key.get(key)
 
     def route(self, host: str, path: str) -> Route | None:
--- a/berylnotch/server/queueing.py
+++ b/berylnotch/server/queueing.py
@@ -17,8 +17,9 @@
     from berylnotch.server.job import Job
     from berylnotch.server.needs import TokenDemand
 
-#: Cost of a request to a plain service in the fair queue, in tokens.
-_PLAIN_COST_TOKENS = 1
+#: Minimum cost of a request in the fair queue, in tokens. It applies to requests that
+#: are not charged for tokens.
+_MIN_COST_TOKENS = 1
 #: Fair-queue weight of requests on open routes, where no organisation is known.
 _OPEN_ROUTE_SHARE = 1.0
 _REFUSAL_MESSAGES = {
@@ -128,7 +129,7 @@
                 self._refuse(job, self._expiry_refusal(job))
 
     def _retry_after_ms(self, job: Job, now: float) -> int:
-        """Return the time until a retry; 0 if the organisation is within its rate."""
+        """Return the ms until a retry; 0 if the organisation is within its rate."""
         name = job.organisation_name
         quota = self._context.quota
         if not job.cost_tokens or quota.balance(now, name) >= job.cost_tokens:
@@ -149,7 +150,7 @@
             identity=f"{job.request.request_id}/{id(job)}",
             organisation=job.organisation_name,
             share=share,
-            cost=float(max(job.cost_tokens, _PLAIN_COST_TOKENS)),
+            cost=float(max(job.cost_tokens, _MIN_COST_TOKENS)),
             deadline=job.deadline,
             enqueued=now,
             priority=self._context.quota.priority(job.organisation_name),
--- a/berylnotch/server/responses.py
+++ b/berylnotch/server/responses.py
@@ -12,7 +12,7 @@
 
 #: Header that tells whether a target ran the request.
 RUN_HEADER = "X-Berylnotch-Run"
-#: Header with the id that names the request in logs and ``berylnotch why``.
+#: Header with the id that identifies the request in logs and ``berylnotch why``.
 REQUEST_ID_HEADER = "X-Request-Id"
 
 _ERROR_TYPES = {
@@ -42,25 +42,26 @@
     if refusal.retry_after_s > 0:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry_after_s)))
     else:
-        # The OpenAI client decides by status alone unless this header is present.
+        # Without this header, the OpenAI client decides by the status alone whether it
+        # retries.
         headers["X-Should-Retry"] = "false"
     return headers
 
 
 def complete_response(status: int, headers: Headers, body: bytes) -> bytes:
-    """Return a response with its body; the connection closes afterwards."""
+    """Return a complete response that announces the end of the connection."""
     headers["Content-Length"] = str(len(body))
     return response_head(status, headers) + body
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> bytes:
-    """Return a refusal as bytes."""
+    """Return the complete HTTP response for a refusal."""
     body = error_body(refusal.code, refusal.message, refusal.status)
     return complete_response(refusal.status, refusal_headers(refusal, request_id), body)
 
 
 def response_head(status: int, headers: Headers) -> bytes:
-    """Return a status line and headers; the connection closes afterwards."""
+    """Return a status line and headers, with ``Connection: close`` added."""
     try:
         reason_phrase = HTTPStatus(status).phrase
     except ValueError:
--- a/berylnotch/settings/controller.py
+++ b/berylnotch/settings/controller.py
@@ -117,9 +117,10 @@
         Duration of the freshness lease, in seconds: how long a router accepts keys
         without a message from the leader.
     claim_retention_s : float
-        How long closed claims are kept, in seconds.
+        How long closed claims (stored outcomes of non-idempotent requests) are kept, in
+        seconds.
     advertise : str
-        ``IP:port`` announced to other processes; empty for that of ``listen``.
+        ``IP:port`` announced to other processes; if empty, ``listen`` is announced.
     platform : str
         ``IP:port`` of the platform's list of VMs; empty for none.
     target_credential : str
--- a/berylnotch/settings/fleet.py
+++ b/berylnotch/settings/fleet.py
@@ -11,8 +11,8 @@
 from berylnotch.errors import ConfigurationError
 from berylnotch.util.address import Address, parse_address
 
-#: Default for the calls per second that the list of targets answers; the rate of the
-#: users' smallest deployment.
+#: Default for the calls per second that the platform allows for the list of targets.
+#: It is the rate of the users' smallest deployment.
 DEFAULT_LIST_RATE = 40.0
 
 
@@ -23,7 +23,7 @@
     Parameters
     ----------
     address_ttl_s : float
-        Longest validity of an address answer.
+        Longest time for which the answer to a router address lookup is valid.
     stop_s : float
         Longest time from SIGTERM to the exit of a process.
     order_lease_s : float
@@ -37,9 +37,10 @@
     quota_window_s : float
         Window in which an organisation's token use is counted.
     quota_overshoot : float
-        Fraction by which its use may exceed rate and burst.
+        Fraction by which an organisation's token use may exceed its rate and burst.
     quota_slack : float
-        Tokens by which its use may exceed them in addition to the fraction.
+        Number of tokens by which the use may exceed rate and burst in addition to
+        `quota_overshoot`.
     weights_s : float
         Time after the announcement of new weights in which requests may still begin on
         older weights.
@@ -91,7 +92,7 @@
     target_list_period_s : float
         Seconds between two reads of the list.
     target_list_rate : float
-        Calls per second that the list answers for the whole fleet.
+        Calls per second that the platform allows the whole fleet for the list.
     bounds : FleetBounds
         Limits of the fleet.
     forwarded : Address or None, default=None
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -30,9 +30,9 @@
         report = Soak(seed, args.seconds, args.routers, args.controllers).run()
         recovered_ms = report.faults.pop("recovered_ms", -1)
         faults.update(report.faults)
-        verdict = "broken" if report.breaks else "kept"
+        outcome = "broken" if report.breaks else "kept"
         print(
-            f"seed={seed} outcome={verdict} answers={report.answers} "
+            f"seed={seed} outcome={outcome} answers={report.answers} "
             f"served={report.served} recovered_ms={recovered_ms}",
             flush=True,
         )
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -50,7 +50,7 @@
     def check_configuration_read(
         self, earlier_acked_version: int, answer: Answer | None
     ) -> None:
-        """Check that a read is not older than a version acknowledged before the read."""
+        """Check that a read returns no version older than one acknowledged earlier."""
         if answer is None or answer.status != 200:
             return
         version = json.loads(answer.body)["version"]
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -11,7 +11,7 @@
 
 #: Fault modes of a proxy. ``ok`` forwards all bytes, ``delay`` forwards them late,
 #: ``reset`` closes connections, ``one_way`` drops the bytes from the target, ``deaf``
-#: the bytes to it, and ``silence`` both.
+#: drops the bytes to the target, and ``silence`` drops both.
 MODES = ("ok", "delay", "reset", "one_way", "deaf", "silence")
 
 #: Delay of each chunk of data in mode ``delay``, in seconds.
@@ -81,16 +81,16 @@
         target_socket.setblocking(False)
         pair = (client_socket, target_socket)
         self._pairs.add(pair)
-        self._watch(pair, client_socket, target_socket, is_answer=False)
-        self._watch(pair, target_socket, client_socket, is_answer=True)
+        self._watch(pair, client_socket, target_socket, is_from_target=False)
+        self._watch(pair, target_socket, client_socket, is_from_target=True)
 
-    def _watch(self, pair, source, sink, is_answer) -> None:
+    def _watch(self, pair, source, sink, is_from_target) -> None:
         def on_readable(_events: int) -> None:
-            self._forward(pair, source, sink, is_answer)
+            self._forward(pair, source, sink, is_from_target)
 
         self._loop.watch(source, selectors.EVENT_READ, on_readable)
 
-    def _forward(self, pair, source, sink, is_answer) -> None:
+    def _forward(self, pair, source, sink, is_from_target) -> None:
         if pair not in self._pairs:
             return
         try:
@@ -101,16 +101,16 @@
             data = b""
         if not data:
             self._close_pair(pair)
-        elif self._is_dropping(is_answer):
+        elif self._is_dropping(is_from_target):
             return
         elif self.mode == "delay":
             self._loop.call_later(DELAY_S, lambda: self._send_to_sink(pair, sink, data))
         else:
             self._send_to_sink(pair, sink, data)
 
-    def _is_dropping(self, is_answer: bool) -> bool:
+    def _is_dropping(self, is_from_target: bool) -> bool:
         return self.mode == "silence" or self.mode == (
-            "one_way" if is_answer else "deaf"
+            "one_way" if is_from_target else "deaf"
         )
 
     def _send_to_sink(self, pair, sink, data) -> None:
