--- a/berylnotch/server/queueing.py
+++ b/berylnotch/server/queueing.py
@@ -64,7 +64,7 @@
         self._jobs: dict[str, Job] = {}
 
     @property
-    def waiting_jobs(self) -> int:
+    def waiting_count(self) -> int:
         """Number of waiting requests."""
         return len(self._jobs)
 
