--- a/berylnotch/cmd/commands/keys.py
+++ b/berylnotch/cmd/commands/keys.py
@@ -52,8 +52,9 @@
     try:
         result = session.propose(command)
     except UnconfirmedError as error:
-        # Repeating the change would require showing the key. Withdrawing it and giving
-        # another one is simpler.
+        # A repetition of the change needs the same key, and the operator would have to
+        # be shown a key that may not be in force. It is simpler to withdraw the key and
+        # to give another one.
         message = (
             f"no answer came; key {generated.key_id} may have been given. Look with "
             f"`keys list {organisation}`, withdraw it and give another one"
--- a/berylnotch/control/protocol.py
+++ b/berylnotch/control/protocol.py
@@ -117,7 +117,7 @@
 
 @frozen
 class KeysRequest:
-    """Ask for the keys of an organisation, or of all if it is empty."""
+    """Ask for an organisation's keys, or for all keys if ``organisation`` is empty."""
 
     organisation: str = ""
 
@@ -131,7 +131,7 @@
 
 @frozen
 class ClaimRequest:
-    """Ask for a claim."""
+    """Ask for the claim of an organisation's idempotency key."""
 
     organisation: str
     idempotency_key: str
@@ -209,7 +209,7 @@
 
 @frozen
 class StatusReply:
-    """State of the fleet as the leader sees it."""
+    """State of the fleet that is known to the leader."""
 
     term: int
     leader: str
@@ -284,7 +284,10 @@
 
 @frozen
 class WhyReply:
-    """Targets considered for a request, best first; empty if the router has none."""
+    """Targets considered for a request, best first.
+
+    ``lines`` is empty if the router has no record of a decision on the request.
+    """
 
     request_id: str
     organisation: str
--- a/berylnotch/control/view.py
+++ b/berylnotch/control/view.py
@@ -29,7 +29,7 @@
 from berylnotch.keys.keyring import KEY_HASH_BYTES, AcceptedKey, Keyring
 from berylnotch.transport.codec import decode
 
-_MachineKey = tuple[Subject, str]
+_SubjectKey = tuple[Subject, str]
 
 
 class View:
@@ -46,8 +46,8 @@
         self._text = ""
         self._fleet = Fleet()
         self._keyring = Keyring()
-        self._draining: set[_MachineKey] = set()
-        self._life_reports: dict[_MachineKey, LifeStateChanged] = {}
+        self._draining: set[_SubjectKey] = set()
+        self._life_reports: dict[_SubjectKey, LifeStateChanged] = {}
         self._weights_reports: dict[str, WeightsChanged] = {}
         self._crashes = CrashTable()
 
@@ -120,8 +120,9 @@
         Parameters
         ----------
         events : iterable of VersionedEvent
-            All events after a version not above that of this view, in order. The
-            events of one version are applied together or not at all.
+            All events, in order, after some version that is not higher than the
+            version of this view. The events of one version are applied together or
+            not at all.
 
         Returns
         -------
@@ -264,8 +265,8 @@
         self._revision = event.revision
         self._text = event.text
         self._fleet = fleet
-        # A machine that is added again under a removed name is a new one, so that the
-        # drains and reports of removed names are discarded.
+        # A target or VM that is added under the name of a removed one is a different
+        # machine. The drains and reports of removed names are therefore discarded.
         self._draining = {key for key in self._draining if self._is_configured(key)}
         self._life_reports = {
             key: report
@@ -278,7 +279,7 @@
             if target in fleet.targets
         }
 
-    def _is_configured(self, key: _MachineKey) -> bool:
+    def _is_configured(self, key: _SubjectKey) -> bool:
         subject, name = key
         fleet = self._fleet
         return name in (fleet.targets if subject is Subject.TARGET else fleet.vms)
@@ -320,7 +321,7 @@
 }
 
 
-def _drain_sort_key(key: _MachineKey) -> tuple[str, str]:
+def _drain_sort_key(key: _SubjectKey) -> tuple[str, str]:
     subject, name = key
     return subject.value, name
 
--- a/berylnotch/daemon/controller/leader.py
+++ b/berylnotch/daemon/controller/leader.py
@@ -35,12 +35,12 @@
         self,
         now: float,
         term: int,
-        owner: QuotaOwner,
+        quota_owner: QuotaOwner,
         target_watch: TargetWatch,
         order_dispatcher: OrderDispatcher,
     ) -> None:
         self.term = term
-        self.owner = owner
+        self.quota_owner = quota_owner
         self.target_watch = target_watch
         self.order_dispatcher = order_dispatcher
         self.router_heartbeats = RouterHeartbeats(now)
@@ -49,7 +49,9 @@
 
 
 class Leader:
-    """Quota grants, life states of routers and targets, orders, and expiry of claims.
+    """Leader services: quota grants, life states, orders, and expiry of claims.
+
+    The life states are those of routers and targets.
 
     Parameters
     ----------
@@ -74,16 +76,16 @@
         self._settings = settings
         self._state = state
         self._propose = propose
-        self._term: _TermState | None = None
+        self._term_state: _TermState | None = None
 
     @property
     def owner(self) -> QuotaOwner | None:
         """Quota owner of the current term, None if this controller does not lead."""
-        return self._term.owner if self._term else None
+        return self._term_state.quota_owner if self._term_state else None
 
     def start_term(self, now: float, term: int) -> None:
         """Start the services of a term, unless they are running already."""
-        if self._term is not None and self._term.term == term:
+        if self._term_state is not None and self._term_state.term == term:
             return
         settings, state = self._settings, self._state
         target_watch = TargetWatch(
@@ -97,12 +99,14 @@
             self._propose,
             since=now,
         )
-        owner = QuotaOwner(settings.quota, term, now)
-        self._term = _TermState(now, term, owner, target_watch, order_dispatcher)
+        quota_owner = QuotaOwner(settings.quota, term, now)
+        self._term_state = _TermState(
+            now, term, quota_owner, target_watch, order_dispatcher
+        )
 
     def end_term(self) -> None:
         """Discard the state of the term when leadership is lost."""
-        self._term = None
+        self._term_state = None
 
     def grant(self, now: float, request: GrantRequest) -> GrantReply:
         """Record a router's heartbeat and answer it with grants.
@@ -112,11 +116,13 @@
         RuntimeError
             If no term was started.
         """
-        term_state = self._term
+        term_state = self._term_state
         if term_state is None:
             raise RuntimeError("cannot grant quota: no leader term was started")
         term_state.router_heartbeats.record(now, request)
-        return term_state.owner.grant(now, request, self._state.fleet.organisations)
+        return term_state.quota_owner.grant(
+            now, request, self._state.fleet.organisations
+        )
 
     def tick(self, now: float, valid_until: float) -> None:
         """Run the leader's periodic work: reports, orders, life states and expiry.
@@ -128,7 +134,7 @@
         valid_until : float
             Monotonic time in seconds at which the leader's lease ends.
         """
-        term_state = self._term
+        term_state = self._term_state
         if term_state is None:
             return
         term_state.target_watch.tick(now)
@@ -146,4 +152,8 @@
 
     def router_lines(self, now: float) -> tuple[RouterLine, ...]:
         """Return the routers for the operators' status report."""
-        return self._term.router_heartbeats.status_lines(now) if self._term else ()
+        return (
+            self._term_state.router_heartbeats.status_lines(now)
+            if self._term_state
+            else ()
+        )
--- a/berylnotch/daemon/controller/vouching.py
+++ b/berylnotch/daemon/controller/vouching.py
@@ -1,4 +1,4 @@
-"""Requests of a follower that confirm with the leader how fresh its state is."""
+"""Client with which a follower confirms the age of its state with the leader."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
     def on_answer(self, answer: VouchAnswer, applied: int) -> None:
         """Process an answer in the core thread.
 
-        An answer without a lease is ignored.
+        The answer of a leader that has no lease is ignored.
         """
         if answer.reply.age_ms >= 0:
             self._pending = answer
--- a/berylnotch/daemon/fleet/controller.py
+++ b/berylnotch/daemon/fleet/controller.py
@@ -32,7 +32,7 @@
 #: Interval in seconds between checks whether this controller leads.
 LEADERSHIP_CHECK_S = 0.05
 
-_CONSENSUS = message_classes(consensus)
+_CONSENSUS_MESSAGES = message_classes(consensus)
 
 
 class FleetController:
@@ -122,7 +122,7 @@
             self._leader.registry.on_link_closed(link, reason)
 
     def _receive(self, link: Link, message: object) -> None:
-        if isinstance(message, _CONSENSUS):
+        if isinstance(message, _CONSENSUS_MESSAGES):
             self._host.step(message)
         elif isinstance(message, JoinRequest):
             if not self._host.join(message):
@@ -156,8 +156,8 @@
         return Redirect(leader, self._host.known_addresses)
 
     def _on_applied(self) -> None:
-        for named in self._state.weights:
-            self._announced_weights.record(named.name, named.version, boot_time())
+        for weights in self._state.weights:
+            self._announced_weights.record(weights.name, weights.version, boot_time())
         if self._leader is not None:
             self._leader.on_applied()
 
--- a/berylnotch/daemon/fleet/leader.py
+++ b/berylnotch/daemon/fleet/leader.py
@@ -33,9 +33,9 @@
 ROSTER_DELAY_S = 1.5
 
 #: Seconds, multiplied by the number of routers, for which changes of the roster are
-#: collected into one message. When all routers restart, each of them is a change that
-#: is sent to all the others.
-ROSTER_PER_ROUTER_S = 0.0005
+#: collected into one message. Without batches, a restart of all routers would send one
+#: message for each router to all the others.
+ROSTER_BATCH_PER_ROUTER_S = 0.0005
 
 #: Term of a group's first leader; no earlier leader can have sent orders.
 FIRST_LEADER_TERM = 2
@@ -52,7 +52,7 @@
 #: Seconds, multiplied by the number of routers, for which pages of a new leader's first
 #: target list are collected into one message: limits the leader to about 1,000 such
 #: messages per second.
-PAGES_PER_ROUTER_S = 0.001
+PAGES_BATCH_PER_ROUTER_S = 0.001
 
 #: Seconds, multiplied by the number of routers, for which prompt notes are collected
 #: into one message: limits the leader to about 1,400 such messages per second.
@@ -80,7 +80,7 @@
     state : FleetState
         Replicated state.
     announced_weights : AnnouncedWeights
-        Versions of weights that operators named, with the times.
+        Announced versions of weights, with the times of their announcement.
     log : EventLog
         Log of the process.
     """
@@ -104,7 +104,7 @@
         self._roster_pushes = CoalescedAction(
             loop,
             lambda: self.registry.push_roster(),
-            lambda: ROSTER_PER_ROUTER_S * self.registry.count,
+            lambda: ROSTER_BATCH_PER_ROUTER_S * self.registry.count,
         )
         self.registry = RouterRegistry(state, log, self._roster_pushes.schedule)
         self._prompt_pushes = CoalescedAction(
@@ -118,7 +118,9 @@
         self._page_pushes = CoalescedAction(
             loop,
             self._push_pages,
-            lambda: max(TARGETS_BATCH_S, PAGES_PER_ROUTER_S * self.registry.count),
+            lambda: max(
+                TARGETS_BATCH_S, PAGES_BATCH_PER_ROUTER_S * self.registry.count
+            ),
         )
         #: Targets from pages of the first list that are not sent yet.
         self._unsent_page_targets: list[ListedTarget] = []
@@ -172,7 +174,7 @@
 
     @property
     def inventory(self) -> TargetInventory:
-        """Targets of the newest list, with their loads of weights."""
+        """Targets of the newest list, with the weights that they are loading."""
         return self._inventory
 
     def start(self) -> None:
--- a/berylnotch/fleet/plan.py
+++ b/berylnotch/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Comparison of two fleets: the changes that an edit of the operators' text makes."""
+"""Comparison of two fleets: lists the changes that an edit by operators makes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     setting : str
         Changed setting; empty if a whole section is added or removed.
     before, after : str
-        Values in the form of the operators' text.
+        Values as they are written in the operators' text.
     affects : str
         Description of the change's effect.
     """
--- a/berylnotch/fleet/text.py
+++ b/berylnotch/fleet/text.py
@@ -1,4 +1,4 @@
-"""Reading, parsing and checking of the operators' text."""
+"""Reading, parsing and checking of the operators' text (fleet configuration)."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
         raise FleetTextError((Problem(line, message),), path) from error
 
 
-# The control state parses a text once to check it and again to build its view; the
-# cache saves the second run.
+# The control state parses a text once to check it and again to build its view. The
+# cache makes the second call return the result of the first.
 @lru_cache(maxsize=1)
 def parse(text: str, path: str = "") -> Fleet:
     """Parse the operators' text into a fleet.
@@ -89,7 +89,7 @@
         problems.append(Problem(1, "section [fleet] is missing"))
     fleet = (
         None
-        if any(_incomplete_flags(settings_by_kind))
+        if any(_are_sections_incomplete(settings_by_kind))
         else _build_fleet(settings_by_kind)
     )
     problems.extend(check_relations(settings_by_kind, sections_by_name))
@@ -126,14 +126,14 @@
     problem = _check_name(section)
     if problem:
         problems.append(Problem(section.line, problem))
-    known = settings_of(section.kind)
+    known_settings = settings_of(section.kind)
     for name, entry in section.entries.items():
-        if name not in known:
-            hint = suggest_name(name, known)
+        if name not in known_settings:
+            hint = suggest_name(name, known_settings)
             message = f"unknown setting {name!r} in [{section.kind}]; {hint}"
             problems.append(Problem(entry.line, message))
     settings = {}
-    for setting in known.values():
+    for setting in known_settings.values():
         _read_setting(section, setting, settings, problems)
     return settings
 
@@ -177,7 +177,9 @@
         problems.append(Problem(line, message))
 
 
-def _incomplete_flags(settings_by_kind: dict[str, dict[str, Any]]) -> Iterable[bool]:
+def _are_sections_incomplete(
+    settings_by_kind: dict[str, dict[str, Any]],
+) -> Iterable[bool]:
     for kind, settings_by_name in settings_by_kind.items():
         for settings in settings_by_name.values():
             yield len(settings) < len(settings_of(kind))
--- a/berylnotch/fleet/values.py
+++ b/berylnotch/fleet/values.py
@@ -1,7 +1,7 @@
 """Conversion of setting values from text, with checks of units and ranges.
 
-Each conversion takes the text of a value and returns the model's value. It raises
-ValueError that says why the text is invalid.
+Each conversion takes the text of a value and returns the value for the fleet model. It
+raises a ValueError with a message that says why the text is invalid.
 """
 
 from __future__ import annotations
@@ -128,7 +128,7 @@
 
 
 def format_value(value: object, unit: str = "") -> str:
-    """Format a value of the model in the form of the operators' text."""
+    """Format a value of the fleet model as it is written in the operators' text."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, tuple):
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -26,9 +26,9 @@
     """Seeded protocol fault; each must give a counterexample."""
 
     NONE = "none"
-    CLAIM_NOT_AGREED = "sent before the claim was committed"
+    SENT_BEFORE_COMMIT = "sent before the claim was committed"
     REOPENED_AFTER_LOSS = "claim of a lost router reopened"
-    RUNNING_FORGOTTEN = "running claim expired"
+    RUNNING_EXPIRED = "running claim expired"
 
 
 class Phase(Enum):
@@ -105,13 +105,13 @@
             "not-run" if mutation is Mutation.REOPENED_AFTER_LOSS else "unknown"
         )
         claim = state.claim._replace(state=claim_state)
-        yield "router taken for lost", state._replace(claim=claim)
-        if mutation is Mutation.RUNNING_FORGOTTEN:
+        yield "router declared lost", state._replace(claim=claim)
+        if mutation is Mutation.RUNNING_EXPIRED:
             yield "claim expires", state._replace(claim=Claim())
 
 
 def _apply(claim: Claim, proposal: Proposal) -> Claim:
-    """Return the claim after a proposal is committed, by the rules of the ledger."""
+    """Return the claim after a proposal is committed; see `berylnotch.ledger`."""
     if proposal.state == "running":
         may_reopen = claim.state == "not-run" and claim.attempt != proposal.attempt
         if claim.state == "none" or may_reopen:
@@ -149,7 +149,7 @@
         yield "claim is committed", _with_router(state, number, granted)
     elif state.claim.state != "none":
         yield "answer from the claim", _with_router(state, number, Router())
-    if mutation is Mutation.CLAIM_NOT_AGREED:
+    if mutation is Mutation.SENT_BEFORE_COMMIT:
         yield "send early", _send(state, number, router)
 
 
--- a/spec/fencing.py
+++ b/spec/fencing.py
@@ -27,9 +27,9 @@
     """Seeded protocol fault; each must give a counterexample."""
 
     NONE = "none"
-    LEASE_CHECKED_BEFORE = "lease checked before the blocking step"
+    LEASE_CHECKED_TOO_EARLY = "lease checked before the blocking connect"
     NO_WAIT = "previous lease not waited out"
-    NO_READ_BACK = "order taken for done without reading back"
+    NO_READ_BACK = "order considered done without reading back"
 
 
 class Order(NamedTuple):
@@ -92,13 +92,13 @@
             ticks_since_election=state.ticks_since_election + 1
             if state.ticks_since_election >= 0
             else -1,
-            old_order=_aged(state.old_order),
-            new_order=_aged(state.new_order),
+            old_order=_increment_age(state.old_order),
+            new_order=_increment_age(state.new_order),
         ),
     )
 
 
-def _aged(order: Order) -> Order:
+def _increment_age(order: Order) -> Order:
     return Order(order.age + 1) if order.age >= 0 else order
 
 
@@ -114,7 +114,7 @@
 def _old_leader_steps(state: State, mutation: Mutation):
     if state.ticks_since_election < 0:
         yield "lease renewed", state._replace(lease_ticks=LEASE)
-    checks_before_connecting = mutation is Mutation.LEASE_CHECKED_BEFORE
+    checks_before_connecting = mutation is Mutation.LEASE_CHECKED_TOO_EARLY
     if state.old_leader_step == "idle" and (
         state.lease_ticks > 0 or not checks_before_connecting
     ):
@@ -135,10 +135,10 @@
         yield "successor is elected", state._replace(ticks_since_election=0)
         return
     wait_ticks = 0 if mutation is Mutation.NO_WAIT else LEASE + MAX_DELAY
-    is_free = state.new_order.age < 0 and not state.is_done
-    if is_free and state.ticks_since_election >= wait_ticks:
+    can_send = state.new_order.age < 0 and not state.is_done
+    if can_send and state.ticks_since_election >= wait_ticks:
         yield "successor sends", state._replace(new_order=Order(0))
         if state.engine == "new":
             yield "successor reads back", state._replace(is_done=True)
     if mutation is Mutation.NO_READ_BACK and state.new_order.age >= 0:
-        yield "successor takes it for done", state._replace(is_done=True)
+        yield "successor considers order done", state._replace(is_done=True)
