--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,3 +1,6 @@
-"""Measurements of parts and of the whole, each run by one command."""
+"""Provides benchmarks of single components and of the whole system.
+
+Each module is run by one command.
+"""
 
 from __future__ import annotations
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -12,8 +12,8 @@
 
 from berylnotch.admission import AdmissionSettings, FairQueue, Fit, Ticket
 
-#: Sizes that are measured, in organisations with one waiting request each.
-SIZES = (30, 300, 2900)
+#: Numbers of organisations that are measured; each has one waiting request.
+ORGANISATION_COUNTS = (30, 300, 2900)
 
 
 def get_parser() -> argparse.ArgumentParser:
@@ -24,43 +24,50 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Print one line for each size."""
+    """Print one line for each number of organisations."""
     args = get_parser().parse_args(argv)
     print("organisations offer+pop_us offer+pop_us_if_only_one_has_tokens")
-    for size in SIZES:
-        free = measure(size, args.operations, is_short=False)
-        short = measure(size, args.operations, is_short=True)
-        print(f"{size:13d} {free:12.1f} {short:33.1f}")
+    for organisation_count in ORGANISATION_COUNTS:
+        unlimited_us = measure(
+            organisation_count, args.operations, is_token_limited=False
+        )
+        token_limited_us = measure(
+            organisation_count, args.operations, is_token_limited=True
+        )
+        print(f"{organisation_count:13d} {unlimited_us:12.1f} {token_limited_us:33.1f}")
     return 0
 
 
-def measure(size: int, operations: int, is_short: bool) -> float:
-    """Return the microseconds of one offer and one pop.
+def measure(organisation_count: int, operations: int, is_token_limited: bool) -> float:
+    """Return the mean time of one offer and one pop in microseconds.
 
-    A request is offered for each that is served, 1,000 a second of the model's
-    time. If ``is_short``, all organisations but the first lack tokens.
+    Each served request is replaced by a new request of the same organisation, at
+    1,000 requests per second of simulated time. If ``is_token_limited``, all
+    organisations but the first lack tokens.
     """
-    queue = FairQueue(AdmissionSettings(max_tickets=2 * size, max_wait_s=1e9))
-    for number in range(size):
-        queue.offer(0.0, _ticket(f"{number}", f"{number}"))
+    queue = FairQueue(
+        AdmissionSettings(max_tickets=2 * organisation_count, max_wait_s=1e9)
+    )
+    for number in range(organisation_count):
+        queue.offer(0.0, _make_ticket(f"{number}", f"{number}"))
 
     def fits(ticket: Ticket) -> Fit:
-        lacks = is_short and ticket.organisation != "0"
-        return Fit.NO_TOKENS if lacks else Fit.FITS
+        has_no_tokens = is_token_limited and ticket.organisation != "0"
+        return Fit.NO_TOKENS if has_no_tokens else Fit.FITS
 
-    begun = time.perf_counter()
+    started = time.perf_counter()
     organisation = "0"
     for number in range(operations):
         now = number / 1000
-        found = queue.pop(now, fits)
-        if found is not None:
-            organisation = found.organisation
-        queue.offer(now, _ticket(f"next-{number}", organisation))
-    return (time.perf_counter() - begun) / operations * 1e6
+        popped = queue.pop(now, fits)
+        if popped is not None:
+            organisation = popped.organisation
+        queue.offer(now, _make_ticket(f"next-{number}", organisation))
+    return (time.perf_counter() - started) / operations * 1e6
 
 
-def _ticket(identity: str, organisation: str) -> Ticket:
-    return Ticket(identity, organisation, 1.0, 100.0, 1e9, 0.0)
+def _make_ticket(ticket_id: str, organisation: str) -> Ticket:
+    return Ticket(ticket_id, organisation, 1.0, 100.0, 1e9, 0.0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/choosers.py
+++ b/benchmarks/choosers.py
@@ -1,4 +1,4 @@
-"""The compared policies, as closures that choose a target for a request."""
+"""Provides the compared placement policies as closures that choose a target."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @frozen
 class Question:
-    """What a router knows when it places a request."""
+    """Information that a router has when it places a request."""
 
     now: float
     request: Request
@@ -36,7 +36,7 @@
 
 @frozen
 class Choice:
-    """Chosen target, its weights and the work that the router expects."""
+    """Chosen target, its weights version, the expected prefill time and an import."""
 
     target: str
     weights: str
@@ -49,13 +49,13 @@
 
 
 def chain_of(request: Request, weights: str) -> tuple[bytes, ...]:
-    """Return the request's chain for a weights version."""
+    """Return the request's chain of prefix hashes for a weights version."""
     scope = Scope(request.organisation, SERVICE, weights)
     return hash_chain(scope, request.prompt, PIECE_BYTES)
 
 
-def usable(question: Question) -> list[Candidate]:
-    """Return the candidates that may get the request."""
+def usable_candidates(question: Question) -> list[Candidate]:
+    """Return the candidates that the request may be sent to."""
     return [
         c
         for c in question.candidates
@@ -64,11 +64,11 @@
 
 
 def random_chooser(seed: int) -> Chooser:
-    """Choose any usable target."""
+    """Return a policy that chooses a random usable target."""
     rng = random.Random(seed)
 
     def choose(question: Question) -> Choice | None:
-        candidates = usable(question)
+        candidates = usable_candidates(question)
         if not candidates:
             return None
         chosen = rng.choice(candidates)
@@ -78,10 +78,10 @@
 
 
 def least_loaded_chooser(settings: PlacementSettings) -> Chooser:
-    """Choose the target with the shortest expected wait, then fewest requests."""
+    """Return a policy that prefers the shortest expected wait, then fewest requests."""
 
     def choose(question: Question) -> Choice | None:
-        candidates = usable(question)
+        candidates = usable_candidates(question)
         if not candidates:
             return None
         chosen = min(candidates, key=lambda c: (c.queue_wait_s, c.in_flight, c.name))
@@ -92,16 +92,16 @@
 
 
 def thin_chooser() -> Chooser:
-    """Choose by rendezvous hashing of the first piece only."""
+    """Return a policy that uses rendezvous hashing of the first piece only."""
 
     def choose(question: Question) -> Choice | None:
-        candidates = {c.name: c for c in usable(question)}
+        candidates = {c.name: c for c in usable_candidates(question)}
         if not candidates:
             return None
         request = question.request
         scope = Scope(request.organisation, SERVICE, "")
-        first = hash_chain(scope, request.prompt[:PIECE_BYTES], PIECE_BYTES)
-        chosen = candidates[top(first[0], candidates, 1)[0]]
+        first_piece = hash_chain(scope, request.prompt[:PIECE_BYTES], PIECE_BYTES)
+        chosen = candidates[top(first_piece[0], candidates, 1)[0]]
         return Choice(chosen.name, chosen.weights, 0.0)
 
     return choose
@@ -110,10 +110,10 @@
 def all_knowing_chooser(
     engines: dict[str, Engine], settings: PlacementSettings
 ) -> Chooser:
-    """Choose with exact knowledge of every queue and cache."""
+    """Return a policy with exact knowledge of every queue and cache."""
 
     def choose(question: Question) -> Choice | None:
-        best, best_s = None, float("inf")
+        best, best_total_s = None, float("inf")
         for candidate in question.candidates:
             engine = engines[candidate.name]
             if not engine.alive or not candidate.weights:
@@ -121,33 +121,33 @@
             if engine.name in question.exclude:
                 continue
             chain = chain_of(question.request, engine.weights)
-            missing = len(chain) - engine.expected_pieces(chain)
-            total_s = engine.queue_wait_s() + missing * settings.recompute_ms / 1000.0
-            if total_s < best_s:
-                best, best_s = engine, total_s
+            uncached = len(chain) - engine.expected_pieces(chain)
+            total_s = engine.queue_wait_s() + uncached * settings.recompute_ms / 1000.0
+            if total_s < best_total_s:
+                best, best_total_s = engine, total_s
         return Choice(best.name, best.weights, 0.0) if best else None
 
     return choose
 
 
 def our_chooser(settings: PlacementSettings, placer: Placer) -> Chooser:
-    """Choose by this project's placement."""
+    """Return a policy that uses berylnotch's placement."""
 
     def choose(question: Question) -> Choice | None:
         request = question.request
         prompt = Prompt(request.organisation, SERVICE, request.prompt, PIECE_BYTES)
-        wanted = PlacementRequest(
+        placement_request = PlacementRequest(
             prompt,
             question.failure_domain,
             question.exclude,
             priority=question.priority,
         )
-        serving = [c for c in question.candidates if c.weights]
-        ranked = placer.rank(question.now, wanted, serving)
+        loaded = [c for c in question.candidates if c.weights]
+        ranked = placer.rank(question.now, placement_request, loaded)
         if not ranked:
             return None
         best = ranked[0]
-        placer.sent(question.now, wanted, best)
+        placer.sent(question.now, placement_request, best)
         work_ms = (prompt.pieces - best.cached_pieces) * settings.recompute_ms
         return Choice(
             best.name,
@@ -161,5 +161,5 @@
 
 
 def placement_settings(shape: Shape) -> PlacementSettings:
-    """Return settings that fit the fake engines."""
+    """Return placement settings with the prefill rate of the simulated engines."""
     return PlacementSettings(prefill_tokens_per_s=shape.engine.prefill_tokens_per_s)
--- a/benchmarks/clairvoyant.py
+++ b/benchmarks/clairvoyant.py
@@ -1,11 +1,13 @@
-"""What a router that knows everything could earn from the long prompts of a day.
+"""Computes an upper bound on the credit for the long prompts of a day.
 
 Run it with ``python -m benchmarks.clairvoyant LOG --engines 45 --memory 142992
---target-ms 863 --late-part 0.306``. It reads the ``sent`` lines of routers' logs, and
-plays the first sends of streams again: each engine reads one prompt after the other,
-and every opening is read once for each version of weights, then copied. Each request
-goes to the engine that will have read it first. Engines are away, and come back empty,
-only as ``--away`` tells, and no price is paid, so the figures are upper bounds.
+--target-ms 863 --late-part 0.306``. It reads the ``sent`` lines of routers' logs and
+replays the first sends of streams with full knowledge of all engines. Each engine
+prefills one prompt after the other. Every shared prefix is prefilled once for each
+version of the weights and copied to other engines afterwards. Each request goes to the
+engine that finishes its prefill first. Engines are unavailable, and return with an
+empty cache, only as given by ``--away``. No other costs are modelled, so the results
+are upper bounds.
 """
 
 from __future__ import annotations
@@ -20,18 +22,19 @@
 
 from berylnotch.cmd.why_request import parse_line
 
-#: Prompt tokens that an engine reads in a step, the time of that and of the rest of a
-#: step, and what each request adds, in ms, by the users' sheet.
+#: Prompt tokens that an engine prefills in one step, the time of this prefill, the time
+#: of the rest of the step, and the time that each request adds to it. Times are in ms.
+#: All are from the users' data sheet.
 CHUNK_TOKENS, CHUNK_MS, STEP_MS, STEP_REQUEST_MS = 1024, 17.0, 4.5, 0.18
 
-#: Prompt tokens in a ms that one engine takes over from another.
-FETCH_TOKENS_PER_MS = 1500.0
+#: Rate at which an engine copies cached prompt tokens from another, in tokens per ms.
+COPY_TOKENS_PER_MS = 1500.0
 
-#: Prompt tokens from which a prompt counts as long.
+#: Length in tokens from which a prompt counts as long.
 LONG_TOKENS = 8_000
 
-#: Tokens of a long prompt that are its own, by the users' sheet.
-OWN_TOKENS = 3_720
+#: Tokens of a long prompt that are not shared, from the users' data sheet.
+UNSHARED_TOKENS = 3_720
 
 
 @frozen
@@ -41,37 +44,37 @@
     Parameters
     ----------
     at_s : float
-        Time in seconds.
+        Time of the send in seconds.
     tokens : int
-        Tokens of the prompt.
-    opening : str
-        Identity of its shared part.
+        Length of the prompt.
+    prefix_id : str
+        Identity of the prompt's shared prefix.
     version : int
-        Newest weights that were named.
+        Version of the weights that the request wanted.
     """
 
     at_s: float
     tokens: int
-    opening: str
+    prefix_id: str
     version: int
 
     @property
     def is_long(self) -> bool:
-        """Whether it is one of the long prompts."""
+        """Whether the prompt counts as long."""
         return self.tokens >= LONG_TOKENS
 
 
 @define
 class Engine:
-    """An engine that reads prompts in turn."""
+    """An engine that prefills one prompt after the other."""
 
     free_at_s: float = 0.0
-    held: OrderedDict[tuple[str, int], None] = field(factory=OrderedDict)
+    cached_prefixes: OrderedDict[tuple[str, int], None] = field(factory=OrderedDict)
 
 
 @frozen
 class Absence:
-    """Engines that are away at the same time, in seconds from the first arrival."""
+    """Engines that are unavailable together, in seconds from the first arrival."""
 
     start_s: float
     end_s: float
@@ -80,25 +83,25 @@
 
 @frozen
 class Bound:
-    """First events of long prompts, in parts of all of them.
+    """Upper bounds for the first events of long prompts.
 
     Parameters
     ----------
     count : int
-        Long prompts.
-    in_time : float
-        Part whose first event comes within its target latency.
+        Number of long prompts.
+    on_time_share : float
+        Share of long prompts whose first event meets the target latency.
     credit : float
-        Mean credit, with that of a late answer.
+        Mean credit per long prompt; late answers count with their partial credit.
     """
 
     count: int
-    in_time: float
+    on_time_share: float
     credit: float
 
 
 def read_arrivals(lines: Iterable[str]) -> list[Arrival]:
-    """Return the first sends of streams, by time."""
+    """Return the first sends of streams, ordered by time."""
     seen: set[str] = set()
     arrivals = []
     for line in lines:
@@ -114,92 +117,114 @@
     return sorted(arrivals, key=lambda arrival: arrival.at_s)
 
 
-def play(
+def simulate(
     arrivals: Iterable[Arrival],
     engines: int,
     memory_tokens: int,
     target_s: float,
-    late_part: float,
+    late_credit: float,
     absences: Sequence[Absence] = (),
 ) -> Bound:
-    """Play the arrivals with full knowledge.
+    """Simulate the arrivals with full knowledge of all engines.
 
     Parameters
     ----------
     arrivals : iterable of Arrival
-        Requests by time.
+        Requests, ordered by time.
     engines : int
-        Engines, all alike.
+        Number of identical engines.
     memory_tokens : int
-        Tokens that one engine holds.
+        Tokens that one engine's cache holds.
     target_s : float
         Target latency of long prompts in seconds.
-    late_part : float
-        Credit of a late answer, in parts of one in time.
+    late_credit : float
+        Credit of a late answer, as a share of the credit of an answer in time.
     absences : sequence of Absence
-        When engines are away; each time it is the turn of the next ones.
+        Times when engines are unavailable. The engines take turns: each absence
+        affects those that follow the engines of the previous absence.
     """
     arrivals = list(arrivals)
     fleet = [Engine() for _ in range(engines)]
     start_s = arrivals[0].at_s if arrivals else 0.0
-    waiting = sorted(absences, key=lambda absence: absence.start_s)
-    count = in_time = turn = 0
+    pending_absences = sorted(absences, key=lambda absence: absence.start_s)
+    count = on_time = next_engine = 0
     for arrival in arrivals:
-        while waiting and start_s + waiting[0].start_s <= arrival.at_s:
-            absence = waiting.pop(0)
+        while (
+            pending_absences and start_s + pending_absences[0].start_s <= arrival.at_s
+        ):
+            absence = pending_absences.pop(0)
             for _ in range(absence.count):
-                engine = fleet[turn % engines]
+                engine = fleet[next_engine % engines]
                 engine.free_at_s = max(engine.free_at_s, start_s + absence.end_s)
-                engine.held.clear()
-                turn += 1
-        key = (arrival.opening, arrival.version)
-        is_known = arrival.is_long and any(key in engine.held for engine in fleet)
-        best = min(fleet, key=lambda e: _done_at(e, arrival, key, is_known))
-        done_at = _done_at(best, arrival, key, is_known)
+                engine.cached_prefixes.clear()
+                next_engine += 1
+        prefix_key = (arrival.prefix_id, arrival.version)
+        is_cached_anywhere = arrival.is_long and any(
+            prefix_key in engine.cached_prefixes for engine in fleet
+        )
+        best = min(
+            fleet, key=lambda e: _finish_s(e, arrival, prefix_key, is_cached_anywhere)
+        )
+        finish_s = _finish_s(best, arrival, prefix_key, is_cached_anywhere)
         if arrival.is_long:
-            best.free_at_s = done_at
-            _hold(best, key, memory_tokens // arrival.tokens)
+            best.free_at_s = finish_s
+            _store_prefix(best, prefix_key, memory_tokens // arrival.tokens)
             count += 1
-            in_time += done_at - arrival.at_s <= target_s
+            on_time += finish_s - arrival.at_s <= target_s
         else:
-            # A short prompt goes before the long ones and takes time from them.
-            best.free_at_s = max(best.free_at_s, arrival.at_s) + _read_s(arrival.tokens)
-    part = in_time / count if count else 0.0
-    return Bound(count, part, part + (1 - part) * late_part)
+            # A short prompt is prefilled before the long ones and delays them.
+            best.free_at_s = max(best.free_at_s, arrival.at_s) + _prefill_s(
+                arrival.tokens
+            )
+    on_time_share = on_time / count if count else 0.0
+    return Bound(
+        count, on_time_share, on_time_share + (1 - on_time_share) * late_credit
+    )
 
 
-def _done_at(
-    engine: Engine, arrival: Arrival, key: tuple[str, int], is_known: bool
+def _finish_s(
+    engine: Engine,
+    arrival: Arrival,
+    prefix_key: tuple[str, int],
+    is_cached_anywhere: bool,
 ) -> float:
     start_s = max(engine.free_at_s, arrival.at_s)
     if not arrival.is_long:
-        return start_s + _read_s(arrival.tokens)
-    if key in engine.held:
-        return start_s + _read_s(OWN_TOKENS)
-    shared = arrival.tokens - OWN_TOKENS
-    if is_known:
-        return start_s + shared / FETCH_TOKENS_PER_MS / 1000 + _read_s(OWN_TOKENS)
-    return start_s + _read_s(arrival.tokens)
-
-
-def _read_s(tokens: int) -> float:
+        return start_s + _prefill_s(arrival.tokens)
+    if prefix_key in engine.cached_prefixes:
+        return start_s + _prefill_s(UNSHARED_TOKENS)
+    shared_tokens = arrival.tokens - UNSHARED_TOKENS
+    if is_cached_anywhere:
+        return (
+            start_s
+            + shared_tokens / COPY_TOKENS_PER_MS / 1000
+            + _prefill_s(UNSHARED_TOKENS)
+        )
+    return start_s + _prefill_s(arrival.tokens)
+
+
+def _prefill_s(tokens: int) -> float:
     return tokens / CHUNK_TOKENS * (CHUNK_MS + STEP_MS + STEP_REQUEST_MS) / 1000
 
 
-def _hold(engine: Engine, key: tuple[str, int], most: int) -> None:
-    engine.held[key] = None
-    engine.held.move_to_end(key)
-    while len(engine.held) > most:
-        engine.held.popitem(last=False)
+def _store_prefix(
+    engine: Engine, prefix_key: tuple[str, int], max_entries: int
+) -> None:
+    engine.cached_prefixes[prefix_key] = None
+    engine.cached_prefixes.move_to_end(prefix_key)
+    while len(engine.cached_prefixes) > max_entries:
+        engine.cached_prefixes.popitem(last=False)
 
 
-def _absence(text: str) -> Absence:
-    """Read an absence of the command line."""
+def _parse_absence(text: str) -> Absence:
+    """Parse an absence given on the command line."""
     try:
         start, end, count = text.split(":")
         return Absence(float(start), float(end), int(count))
     except ValueError as error:
-        raise argparse.ArgumentTypeError(f"{text!r} is no START:END:COUNT") from error
+        raise argparse.ArgumentTypeError(
+            f"{text!r} does not have the form START:END:COUNT"
+        ) from error
 
 
 def get_parser() -> argparse.ArgumentParser:
@@ -212,7 +237,7 @@
     parser.add_argument("--late-part", type=float, required=True)
     parser.add_argument(
         "--away",
-        type=_absence,
+        type=_parse_absence,
         action="append",
         default=[],
         metavar="START:END:COUNT",
@@ -227,7 +252,7 @@
     lines: list[str] = []
     for log in args.logs:
         lines += log.read_text(encoding="utf-8", errors="replace").splitlines()
-    bound = play(
+    bound = simulate(
         read_arrivals(lines),
         args.engines,
         args.memory,
@@ -236,7 +261,7 @@
         args.away,
     )
     print(
-        f"long prompts {bound.count}, in time {bound.in_time:.3f}, "
+        f"long prompts {bound.count}, in time {bound.on_time_share:.3f}, "
         f"credit {bound.credit:.3f}"
     )
     return 0
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -35,8 +35,8 @@
 class Cluster:
     """Replicas in one process; every message is encoded and decoded.
 
-    All of them sync their files one after the other, so the rate is lower than
-    that of separate VMs.
+    The replicas sync their files one after the other, so the rate is lower than
+    with replicas on separate VMs.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -51,17 +51,17 @@
         for name, storage in stored.items():
             state = bootstrap(recovered[name], members)
             storage.save(first_ready(state))
-            self.add(storage, state)
+            self.add_replica(storage, state)
 
-    def add(self, storage: LogStorage, state) -> None:
-        """Run a replica."""
+    def add_replica(self, storage: LogStorage, state) -> None:
+        """Add a replica with its recovered state."""
         now = time.monotonic()
         rng = random.Random(state.identity)
         replica = Replica(self.settings, state, rng, now)
         self.nodes[state.identity] = Node(storage, replica)
 
-    def round(self) -> None:
-        """Let each replica tick, save, send and apply once."""
+    def run_round(self) -> None:
+        """Let each replica tick, save, send messages and apply entries once."""
         for node in list(self.nodes.values()):
             node.replica.tick(time.monotonic())
             ready = node.replica.ready()
@@ -75,10 +75,10 @@
                     target.replica.step(time.monotonic(), message)
             node.replica.advance(ready)
 
-    def elect(self) -> Node:
-        """Run until a leader holds its lease."""
+    def elect_leader(self) -> Node:
+        """Run rounds until a leader holds its lease, and return it."""
         while True:
-            self.round()
+            self.run_round()
             for node in self.nodes.values():
                 if node.replica.has_lease(time.monotonic()):
                     return node
@@ -91,7 +91,7 @@
 
 @attrs.frozen
 class Rate:
-    """Committed proposals, and how long each waited."""
+    """Rate of committed proposals, their commit latency, and file syncs for each."""
 
     per_s: float
     p50_ms: float
@@ -100,32 +100,32 @@
 
 
 def propose(cluster: Cluster, leader: Node, count: int, clients: int) -> Rate:
-    """Commit ``count`` proposals, ``clients`` of them at a time."""
-    waiting: dict[int, float] = {}
-    waits = []
+    """Commit ``count`` proposals, at most ``clients`` of them at a time."""
+    proposed_at: dict[int, float] = {}
+    latencies_s = []
     proposed = 0
-    saves = leader.saves
+    saves_before = leader.saves
     start = time.monotonic()
-    while len(waits) < count:
-        while len(waiting) < clients and proposed < count:
+    while len(latencies_s) < count:
+        while len(proposed_at) < clients and proposed < count:
             now = time.monotonic()
-            waiting[leader.replica.propose(now, bytes(PAYLOAD_BYTES))] = now
+            proposed_at[leader.replica.propose(now, bytes(PAYLOAD_BYTES))] = now
             proposed += 1
-        cluster.round()
+        cluster.run_round()
         now = time.monotonic()
-        for index in [i for i in waiting if i <= leader.replica.applied]:
-            waits.append(now - waiting.pop(index))
-    waits.sort()
+        for index in [i for i in proposed_at if i <= leader.replica.applied]:
+            latencies_s.append(now - proposed_at.pop(index))
+    latencies_s.sort()
     return Rate(
         count / (time.monotonic() - start),
-        waits[len(waits) // 2] * 1000,
-        waits[len(waits) * 99 // 100] * 1000,
-        (leader.saves - saves) / count,
+        latencies_s[len(latencies_s) // 2] * 1000,
+        latencies_s[len(latencies_s) * 99 // 100] * 1000,
+        (leader.saves - saves_before) / count,
     )
 
 
-def show(label: str, rate: Rate) -> None:
-    """Print one line of the result."""
+def print_rate(label: str, rate: Rate) -> None:
+    """Print a rate as one line."""
     print(
         f"{label:42} {rate.per_s:8.0f}/s  p50 {rate.p50_ms:6.1f} ms  "
         f"p99 {rate.p99_ms:6.1f} ms  {rate.saves_per_proposal:.3f} fsync/proposal"
@@ -135,39 +135,39 @@
 def measure_rates(folder: Path) -> None:
     """Measure proposals a second for several numbers of clients."""
     cluster = Cluster(folder)
-    leader = cluster.elect()
+    leader = cluster.elect_leader()
     for clients, count in ((1, 300), (16, 3000), (64, 6000)):
-        show(f"{clients} clients", propose(cluster, leader, count, clients))
+        print_rate(f"{clients} clients", propose(cluster, leader, count, clients))
     cluster.close()
 
 
 def measure_restart(folder: Path) -> None:
-    """Measure how long a folder of 10,000 entries takes to read."""
+    """Measure the time to recover a replica from a folder of 10,000 entries."""
     cluster = Cluster(folder)
-    leader = cluster.elect()
+    leader = cluster.elect_leader()
     propose(cluster, leader, 10_000, 64)
     cluster.close()
     start = time.monotonic()
     storage = LogStorage(leader.storage.folder, "a")
     recovered = storage.start()
     Replica(cluster.settings, recovered, random.Random(0), time.monotonic())
-    spent = time.monotonic() - start
+    elapsed_s = time.monotonic() - start
     storage.close()
-    print(f"restart from {len(recovered.entries):,} entries{'':17} {spent:8.3f} s")
+    print(f"restart from {len(recovered.entries):,} entries{'':17} {elapsed_s:8.3f} s")
 
 
 def measure_catching_up(folder: Path, snapshot_bytes: int) -> None:
-    """Measure the rate while a learner takes a snapshot, and without it."""
+    """Measure the rate before, while and after a learner receives a snapshot."""
     cluster = Cluster(folder)
-    leader = cluster.elect()
+    leader = cluster.elect_leader()
     propose(cluster, leader, 5000, 64)
     snapshot = leader.replica.build_snapshot(bytes(snapshot_bytes))
     leader.storage.save_snapshot(snapshot)
     leader.replica.compact(snapshot)
-    show("no learner", propose(cluster, leader, 3000, 64))
+    print_rate("no learner", propose(cluster, leader, 3000, 64))
     storage = LogStorage(folder / "d", "d")
     state = storage.start()
-    cluster.add(storage, state)
+    cluster.add_replica(storage, state)
     learner = Member("d", state.identity, "d:1", "", Role.LEARNER)
     members = Members((*leader.replica.members.members, learner))
     leader.replica.propose_members(time.monotonic(), members)
@@ -179,13 +179,14 @@
     ):
         rates.append(propose(cluster, leader, 200, 64))
         committed += 200
-    spent = time.monotonic() - start
-    worst = max(rate.p99_ms for rate in rates)
+    elapsed_s = time.monotonic() - start
+    worst_p99_ms = max(rate.p99_ms for rate in rates)
     print(
-        f"learner takes {snapshot_bytes >> 20} MiB{'':21} {committed / spent:8.0f}/s  "
-        f"for {spent:.2f} s, worst p99 {worst:.1f} ms"
+        f"learner takes {snapshot_bytes >> 20} MiB{'':21} "
+        f"{committed / elapsed_s:8.0f}/s  "
+        f"for {elapsed_s:.2f} s, worst p99 {worst_p99_ms:.1f} ms"
     )
-    show("learner has caught up", propose(cluster, leader, 3000, 64))
+    print_rate("learner has caught up", propose(cluster, leader, 3000, 64))
     cluster.close()
 
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""Figures of the control state on real processes: `python -m benchmarks.control`.
+"""Measures the control state on real processes: `python -m benchmarks.control`.
 
 Failover, claims, restart and distribution to many subscribers, in one run.
 """
@@ -37,7 +37,7 @@
 from berylnotch.util.loop import Loop
 
 _NAMES = ("c1", "c2", "c3")
-_WAIT_MS = 400
+_SYNC_WAIT_MS = 400
 _ORGANISATION = "importer-desk"
 
 
@@ -62,7 +62,7 @@
     fleet = LocalFleet(folder)
     try:
         fleet.start_controllers(_NAMES, DOMAINS[:3])
-        fleet.apply(_text(1), 0)
+        fleet.apply(_fleet_text(1), 0)
         measure_claims(fleet, args.claims, args.in_flight)
         measure_subscribers(fleet, args.subscribers, args.seconds)
         measure_router(fleet, args.seconds)
@@ -75,35 +75,35 @@
 
 
 def measure_claims(fleet: LocalFleet, count: int, in_flight: int) -> None:
-    """Agree claims, ``in_flight`` at a time, with real syncs."""
-    peers = _Peers(fleet, "entry-1")
+    """Commit claims, ``in_flight`` at a time, with real file syncs."""
+    peers = _PeerConnections(fleet, "entry-1")
     leader = fleet.controllers[fleet.leader()]
     histogram = HdrHistogram(1, 60_000_000, 3)
-    room = threading.Semaphore(in_flight)
+    free_slots = threading.Semaphore(in_flight)
     failed: list[object] = []
 
     def propose(number: int) -> None:
         claim = OpenClaim(_ORGANISATION, f"k{number}", b"f", "entry-1/i", f"a{number}")
         sent_at = time.monotonic()
 
-        def answered(done) -> None:
+        def on_proposed(done) -> None:
             histogram.record_value(int((time.monotonic() - sent_at) * 1e6))
-            answer = None if done.exception() else done.result()
-            is_ok = isinstance(answer, ProposeReply)
-            if not is_ok or answer.result.status is not Status.OK:
-                failed.append(answer)
-            room.release()
+            reply = None if done.exception() else done.result()
+            is_reply = isinstance(reply, ProposeReply)
+            if not is_reply or reply.result.status is not Status.OK:
+                failed.append(reply)
+            free_slots.release()
 
         request = ProposeRequest(encode(claim))
-        peers.peers.call(leader, request, 10.0).add_done_callback(answered)
+        peers.peers.call(leader, request, 10.0).add_done_callback(on_proposed)
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     for number in range(count):
-        room.acquire()
+        free_slots.acquire()
         propose(number)
     for _ in range(in_flight):
-        room.acquire()
-    elapsed_s = time.monotonic() - began
+        free_slots.acquire()
+    elapsed_s = time.monotonic() - started_at
     print(
         f"claims: {count / elapsed_s:.0f}/s agreed with {in_flight} in flight, "
         f"p50 {histogram.get_value_at_percentile(50) / 1000:.1f} ms, "
@@ -115,7 +115,7 @@
 
 @define
 class _Subscriber:
-    """One router's subscription."""
+    """A router's subscription to the control state."""
 
     address: str
     view: View = field(factory=View)
@@ -125,29 +125,32 @@
 
 
 def measure_subscribers(fleet: LocalFleet, count: int, seconds: float) -> None:
-    """Keep many subscriptions, and apply a change to all of them."""
-    peers = _Peers(fleet, "subscribers")
+    """Measure many subscriptions, while idle and during a change."""
+    peers = _PeerConnections(fleet, "subscribers")
     addresses = tuple(fleet.controllers.values())
     subscribers = [_Subscriber(addresses[n % len(addresses)]) for n in range(count)]
     stopped = threading.Event()
     for subscriber in subscribers:
-        _follow(peers, subscriber, stopped)
-    _wait(lambda: all(s.version for s in subscribers))
-    before = _use(fleet)
+        _start_subscription(peers, subscriber, stopped)
+    _wait_until(lambda: all(s.version for s in subscribers))
+    before = _cpu_times_s(fleet)
     for subscriber in subscribers:
         subscriber.bytes = 0
-    began = time.monotonic()
+    started_at = time.monotonic()
     time.sleep(seconds)
-    elapsed_s = time.monotonic() - began
+    elapsed_s = time.monotonic() - started_at
     idle_bytes = sum(s.bytes for s in subscribers) / count / elapsed_s
-    cpu = {name: (now - before[name]) / elapsed_s for name, now in _use(fleet).items()}
-    old = subscribers[0].version
-    asked_at = time.monotonic()
-    fleet.apply(_text(2), 1)
-    _wait(lambda: all(s.version > old for s in subscribers))
+    cpu = {
+        name: (now - before[name]) / elapsed_s
+        for name, now in _cpu_times_s(fleet).items()
+    }
+    old_version = subscribers[0].version
+    applied_at = time.monotonic()
+    fleet.apply(_fleet_text(2), 1)
+    _wait_until(lambda: all(s.version > old_version for s in subscribers))
     histogram = HdrHistogram(1, 60_000_000, 3)
     for subscriber in subscribers:
-        histogram.record_value(int((subscriber.changed_at - asked_at) * 1e6))
+        histogram.record_value(int((subscriber.changed_at - applied_at) * 1e6))
     stopped.set()
     shares = ", ".join(f"{name} {100 * share:.1f}%" for name, share in cpu.items())
     print(
@@ -160,23 +163,23 @@
 
 
 def measure_router(fleet: LocalFleet, seconds: float) -> None:
-    """Let a router follow the control state without callers."""
+    """Measure a router that follows the control state without callers."""
     router = fleet.start_router("entry-1", DOMAINS[0])
     time.sleep(2.0)
     before = read_process_stat(router.pid)
-    began = time.monotonic()
+    started_at = time.monotonic()
     time.sleep(seconds)
-    elapsed_s = time.monotonic() - began
+    elapsed_s = time.monotonic() - started_at
     after = read_process_stat(router.pid)
     router.kill()
     share = 100 * (after.cpu_s - before.cpu_s) / elapsed_s
     print(f"router without callers: {share:.1f}% of a core, {after.rss_mb:.0f} MB")
 
 
-def measure_failover(fleet: LocalFleet, times: int) -> None:
-    """Kill the leader and wait for the next acknowledged read."""
+def measure_failover(fleet: LocalFleet, leader_kills: int) -> None:
+    """Measure the time from a leader's kill to the next acknowledged read."""
     histogram = HdrHistogram(1, 60_000_000, 3)
-    for _ in range(times):
+    for _ in range(leader_kills):
         leader = fleet.leader()
         killed_at = time.monotonic()
         fleet.children[leader].kill()
@@ -185,25 +188,25 @@
         fleet.restart(leader)
         time.sleep(1.0)
     print(
-        f"failover: {times} leaders killed, next read after p50 "
+        f"failover: {leader_kills} leaders killed, next read after p50 "
         f"{histogram.get_value_at_percentile(50) / 1e6:.2f} s, max "
         f"{histogram.get_max_value() / 1e6:.2f} s"
     )
 
 
 def measure_restart(fleet: LocalFleet, changes: int) -> None:
-    """Restart a controller after many changes."""
+    """Measure the restart of a controller after many changes."""
     revision = fleet.client.call(ShowRequest()).revision
-    began = time.monotonic()
+    started_at = time.monotonic()
     for number in range(changes):
-        fleet.apply(_text(number), revision + number)
-    applied_s = time.monotonic() - began
+        fleet.apply(_fleet_text(number), revision + number)
+    applied_s = time.monotonic() - started_at
     for name in _NAMES:
         fleet.children[name].kill()
     first = fleet.children[_NAMES[0]]
-    began = time.monotonic()
+    started_at = time.monotonic()
     fleet.restart(_NAMES[0])
-    started_s = time.monotonic() - began
+    started_s = time.monotonic() - started_at
     for name in _NAMES[1:]:
         fleet.restart(name)
     shown = fleet.client.call(ShowRequest())
@@ -216,8 +219,8 @@
     )
 
 
-class _Peers:
-    """Connections of a stand-in for one VM's process."""
+class _PeerConnections:
+    """Connections of a simulated VM process to the controllers."""
 
     def __init__(self, fleet: LocalFleet, name: str) -> None:
         self.loop = Loop(name)
@@ -226,47 +229,49 @@
         self.peers = Peers(self.loop, VM_PREFIX + name, lambda _identity: key)
 
     def close(self) -> None:
-        """End the connections."""
+        """Close the connections and stop the loop."""
         self.peers.close()
         self.loop.close()
 
 
-def _follow(peers: _Peers, subscriber: _Subscriber, stopped: threading.Event) -> None:
+def _start_subscription(
+    peers: _PeerConnections, subscriber: _Subscriber, stopped: threading.Event
+) -> None:
     incarnation = secrets.token_hex(4)
 
-    def ask() -> None:
+    def send_sync() -> None:
         if stopped.is_set():
             return
-        request = SyncRequest("entry-1", incarnation, subscriber.version, _WAIT_MS)
+        request = SyncRequest("entry-1", incarnation, subscriber.version, _SYNC_WAIT_MS)
         subscriber.bytes += len(encode(request))
         future = peers.peers.call(subscriber.address, request, 5.0)
-        future.add_done_callback(answered)
+        future.add_done_callback(on_sync_done)
 
-    def answered(done) -> None:
+    def on_sync_done(done) -> None:
         if done.exception() is None and isinstance(done.result(), SyncReply):
             reply = done.result()
             subscriber.bytes += len(encode(reply))
             if reply.version > subscriber.version:
                 subscriber.version = reply.version
                 subscriber.changed_at = time.monotonic()
-        peers.loop.call_later(0.0, ask)
+        peers.loop.call_later(0.0, send_sync)
 
-    peers.loop.call_soon(ask)
+    peers.loop.call_soon(send_sync)
 
 
-def _use(fleet: LocalFleet) -> dict[str, float]:
+def _cpu_times_s(fleet: LocalFleet) -> dict[str, float]:
     return {name: read_process_stat(fleet.children[name].pid).cpu_s for name in _NAMES}
 
 
-def _wait(condition) -> None:
+def _wait_until(condition) -> None:
     deadline = time.monotonic() + 60
     while not condition():
         if time.monotonic() > deadline:
-            raise TransportError("the subscribers did not follow in 60 s")
+            raise TransportError("subscribers are not up to date after 60 s")
         time.sleep(0.005)
 
 
-def _text(number: int) -> str:
+def _fleet_text(number: int) -> str:
     vms = (("entry-1", "127.0.0.1:8001"),)
     return small_text(SmallFleet(vms, (), (), rate=1000 + number % 7))
 
--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -1,8 +1,8 @@
-"""Memory and time of the control state at the target's size.
+"""Measures memory and time of the control state at its target size.
 
 ``python -m benchmarks.control_state`` builds 2,900 organisations and 100,000
-keys and prints what the state and a router's view cost. Each measured step runs
-in this one process; memory is the resident set in Linux's ``/proc``.
+keys and prints the memory, time and bytes of the state and a router's view. All
+steps run in this process; memory is the resident set from Linux's ``/proc``.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def fleet_text(organisations: int, engines: int, vms: int) -> str:
-    """Return an operators' text of the given size."""
+    """Return a fleet text, as operators write it, of the given size."""
     parts = ["[fleet]\nregion = r\nfailure-domains = a, b, c, d\n"]
     for number in range(vms):
         address = f"10.1.{number // 250}.{number % 250 + 1}:8000"
@@ -59,15 +59,15 @@
     return "".join(parts)
 
 
-class Runner:
+class CommandApplier:
     """Applies commands to a state at rising log indexes."""
 
     def __init__(self) -> None:
         self.state = ControlState()
         self._index = 0
 
-    def run(self, command: object) -> None:
-        """Apply one command, which has to succeed."""
+    def apply(self, command: object) -> None:
+        """Apply a command; raise if it fails."""
         self._index += 1
         proposal = Proposal(_START_MS + self._index, encode(command))
         result = self.state.apply(self._index, proposal).result
@@ -75,19 +75,19 @@
             raise RuntimeError(f"{result.status.value}: {result.message}")
 
 
-def timed(name: str, call: Callable[[], Any]) -> Any:
-    """Run a call, print its time, and return its result."""
+def run_timed(name: str, step: Callable[[], Any]) -> Any:
+    """Run a step, print its time, and return its result."""
     started = time.perf_counter()
-    found = call()
+    result = step()
     print(f"{name}: {(time.perf_counter() - started) * 1000:,.0f} ms")
-    return found
+    return result
 
 
-def give_keys(runner: Runner, organisations: int, keys: int) -> None:
+def give_keys(applier: CommandApplier, organisations: int, keys: int) -> None:
     """Give keys, spread evenly over the organisations."""
     rng = random.Random(1)
     for number in range(keys):
-        runner.run(
+        applier.apply(
             GiveKey(
                 rng.randbytes(12).hex(),
                 "asha",
@@ -98,14 +98,14 @@
         )
 
 
-def open_claims(runner: Runner, organisations: int, claims: int) -> None:
+def open_claims(applier: CommandApplier, organisations: int, claims: int) -> None:
     """Open claims, spread evenly over the organisations."""
     for number in range(claims):
         organisation = f"organisation-{number % organisations}"
         key = f"{number:032x}"
         fingerprint = number.to_bytes(32, "big")
         router, attempt = "entry-1/0123456789ab", f"{number:024x}"
-        runner.run(OpenClaim(organisation, key, fingerprint, router, attempt))
+        applier.apply(OpenClaim(organisation, key, fingerprint, router, attempt))
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -120,27 +120,29 @@
     print(f"at start: {resident_mb():.1f} MB")
     text = fleet_text(args.organisations, args.engines, args.vms)
     print(f"text: {len(text):,} bytes")
-    timed("parse the text", lambda: parse(text))
-    runner = Runner()
-    timed("apply the text", lambda: runner.run(ApplyText("t", "asha", 0, text)))
+    run_timed("parse the text", lambda: parse(text))
+    applier = CommandApplier()
+    run_timed("apply the text", lambda: applier.apply(ApplyText("t", "asha", 0, text)))
     organisations, keys = args.organisations, args.keys
-    timed(f"give {keys:,} keys", lambda: give_keys(runner, organisations, keys))
+    run_timed(f"give {keys:,} keys", lambda: give_keys(applier, organisations, keys))
     if args.claims:
-        timed("open claims", lambda: open_claims(runner, organisations, args.claims))
+        run_timed(
+            "open claims", lambda: open_claims(applier, organisations, args.claims)
+        )
     print(f"with the state: {resident_mb():.1f} MB")
-    pack = timed("freeze the state", runner.state.prepare_snapshot)
-    snapshot = timed("snapshot of the state", pack)
-    pack = None
+    build_snapshot = run_timed("freeze the state", applier.state.prepare_snapshot)
+    snapshot = run_timed("snapshot of the state", build_snapshot)
+    build_snapshot = None
     print(f"snapshot of the state: {len(snapshot):,} bytes")
     print(f"after the snapshot: {resident_mb():.1f} MB")
-    view_snapshot = timed("snapshot of the view", runner.state.view_snapshot)
+    view_snapshot = run_timed("snapshot of the view", applier.state.view_snapshot)
     print(f"snapshot of the view: {len(view_snapshot):,} bytes")
-    runner = None
+    applier = None
     restored = ControlState()
-    timed("restore the state", lambda: restored.restore(snapshot))
+    run_timed("restore the state", lambda: restored.restore(snapshot))
     print(f"at the end, one state restored: {resident_mb():.1f} MB")
     view = View()
-    timed("restore a view", lambda: view.restore(view_snapshot))
+    run_timed("restore a view", lambda: view.restore(view_snapshot))
     return 0
 
 
--- a/benchmarks/decision_time.py
+++ b/benchmarks/decision_time.py
@@ -1,4 +1,4 @@
-"""Time of one placement decision.
+"""Measures the time of one placement decision.
 
 Run with ``python -m benchmarks.decision_time``.
 """
@@ -21,8 +21,8 @@
 from berylnotch.placement.placer import PlacementRequest, Placer, Prompt
 from berylnotch.placement.settings import PlacementSettings
 
-#: Longest time that is told apart, in microseconds.
-HIGHEST_US = 1_000_000
+#: Longest time that the histograms record, in microseconds.
+MAX_RECORDED_US = 1_000_000
 
 
 def get_parser() -> argparse.ArgumentParser:
@@ -42,20 +42,20 @@
     args = get_parser().parse_args(argv)
     rng = random.Random(1)
     settings = PlacementSettings()
-    view = _view(args.engines)
+    view = _make_view(args.engines)
     service = Service("language", ServiceKind.LANGUAGE, weights="v1")
     health = TargetHealth(MembershipSettings())
     for name in view.fleet.targets:
         health.report(name, LoadReport("1", 0.0, rng.random()))
     placer = Placer(settings)
-    bodies = _bodies(rng, args.prompts, args.pieces * settings.piece_bytes)
+    prompts = _make_prompts(rng, args.prompts, args.pieces * settings.piece_bytes)
     steps = {
-        name: HdrHistogram(1, HIGHEST_US, 3) for name in ("hash", "decide", "note")
+        name: HdrHistogram(1, MAX_RECORDED_US, 3) for name in ("hash", "decide", "note")
     }
     for number in range(args.decisions):
         now = number / 100.0
-        prompt = Prompt("clinic", "language", rng.choice(bodies), settings.piece_bytes)
-        _measure(steps["hash"], lambda prompt=prompt: prompt.chain("v1"))
+        prompt = Prompt("clinic", "language", rng.choice(prompts), settings.piece_bytes)
+        _measure_step(steps["hash"], lambda prompt=prompt: prompt.chain("v1"))
         request = PlacementRequest(prompt, "domain-1")
 
         def decide(now=now, request=request):
@@ -64,9 +64,9 @@
             candidates = health.candidates(now, view, service.name, names)
             return placer.rank(now, request, candidates)
 
-        ranked = _measure(steps["decide"], decide)
+        ranked = _measure_step(steps["decide"], decide)
         best = ranked[0]
-        _measure(
+        _measure_step(
             steps["note"],
             lambda now=now, request=request, best=best: placer.sent(now, request, best),
         )
@@ -80,15 +80,15 @@
     return 0
 
 
-def _measure(histogram: HdrHistogram, step):
-    begun = time.perf_counter()
+def _measure_step(histogram: HdrHistogram, step):
+    started = time.perf_counter()
     result = step()
-    taken_us = 1e6 * (time.perf_counter() - begun)
+    taken_us = 1e6 * (time.perf_counter() - started)
     histogram.record_value(max(1, round(taken_us)))
     return result
 
 
-def _view(engines: int) -> StandInView:
+def _make_view(engines: int) -> StandInView:
     names = [f"engine-{i}" for i in range(engines)]
     targets = {
         name: Target(name, "language", "", f"domain-{i % 4}", capacity=48)
@@ -97,11 +97,11 @@
     return StandInView(Fleet(targets=targets), dict.fromkeys(names, "v1"))
 
 
-def _bodies(rng: random.Random, count: int, size: int) -> list[bytes]:
-    """Return prompts that share half of their length with some others."""
-    openings = [rng.randbytes(size // 2) for _ in range(max(1, count // 10))]
-    rest = size - size // 2
-    return [rng.choice(openings) + rng.randbytes(rest) for _ in range(count)]
+def _make_prompts(rng: random.Random, count: int, size_bytes: int) -> list[bytes]:
+    """Return prompts of ``size_bytes`` bytes; some of them share their first half."""
+    prefixes = [rng.randbytes(size_bytes // 2) for _ in range(max(1, count // 10))]
+    suffix_bytes = size_bytes - size_bytes // 2
+    return [rng.choice(prefixes) + rng.randbytes(suffix_bytes) for _ in range(count)]
 
 
 if __name__ == "__main__":
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -1,4 +1,4 @@
-"""A fake engine: continuous batching, a prefix cache and its events."""
+"""Provides a simulated engine: continuous batching, a prefix cache and its events."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from berylnotch.membership.targets import LoadReport
 from berylnotch.placement.hints import CacheEvent
 
-#: Rest of a prefill in seconds that comes from rounding.
+#: Remaining prefill time in seconds that is attributed to rounding errors.
 _ROUNDING_S = 1e-9
 
 
@@ -22,9 +22,11 @@
 class Job:
     """A request at an engine.
 
-    ``cached`` and ``wasted`` count its pieces when the prompt was computed;
-    wasted ones had been computed before, anywhere. ``left_s`` is what is left
-    of a begun prefill. ``import_pieces`` leading pieces may be imported.
+    ``cached`` counts the pieces of its prompt that were cached when the prefill
+    started. ``wasted`` counts the computed pieces that some engine had computed
+    before. ``remaining_prefill_s`` is the remaining time of a started prefill in
+    seconds, and None before its start. The leading ``import_pieces`` pieces may be
+    imported from another engine; ``imported`` counts those that are.
     """
 
     chain: tuple[bytes, ...]
@@ -39,7 +41,7 @@
     cached: int = 0
     imported: int = 0
     wasted: int = 0
-    left_s: float | None = None
+    remaining_prefill_s: float | None = None
 
 
 @define
@@ -51,7 +53,7 @@
 
 
 class Engine:
-    """One engine process; a crash empties it and changes its incarnation.
+    """A simulated engine; a crash empties its cache and changes its incarnation.
 
     Parameters
     ----------
@@ -60,7 +62,7 @@
     name : str
         Name of the target.
     failure_domain : str
-        Where it runs.
+        Failure domain that the engine runs in.
     loop : Loop
         Clock and timers.
     """
@@ -76,10 +78,10 @@
         self.seen: set[bytes] = set()
         self._loop = loop
         self._incarnation = 1
-        self._order = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._chunk_s = shape.chunk_pieces * shape.piece_tokens
         self._chunk_s /= shape.prefill_tokens_per_s
-        self._clear()
+        self._reset()
 
     @property
     def incarnation(self) -> str:
@@ -101,51 +103,51 @@
         if not self.alive:
             job.on_fail(job)
             return
-        heapq.heappush(self._queue, (job.priority, next(self._order), job))
-        self._start_next()
+        heapq.heappush(self._queue, (job.priority, next(self._arrival_numbers), job))
+        self._start_next_chunk()
 
     def cached_pieces(self, chain: tuple[bytes, ...]) -> int:
-        """Return the leading pieces held."""
+        """Return the number of leading pieces that are cached."""
         for index, prefix in enumerate(chain):
             if prefix not in self._cache:
                 return index
         return len(chain)
 
     def expected_pieces(self, chain: tuple[bytes, ...]) -> int:
-        """Return the leading pieces held once the queue is done."""
-        coming = {prefix for _, _, job in self._queue for prefix in job.chain}
+        """Return the number of leading pieces cached once the queue is empty."""
+        pending = {prefix for _, _, job in self._queue for prefix in job.chain}
         if self._prefilling:
-            coming.update(self._prefilling.chain)
+            pending.update(self._prefilling.chain)
         for index, prefix in enumerate(chain):
-            if prefix not in self._cache and prefix not in coming:
+            if prefix not in self._cache and prefix not in pending:
                 return index
         return len(chain)
 
     def queue_wait_s(self) -> float:
-        """Return the prefill work ahead of a new request."""
-        wait = max(0.0, self._chunk_until - self._loop.now)
-        coming: set[bytes] = set()
+        """Return the time in seconds of the prefills ahead of a new request."""
+        wait = max(0.0, self._chunk_ends_at - self._loop.now)
+        pending: set[bytes] = set()
         for _, _, job in self._queue:
-            if job.left_s is not None:
-                wait += job.left_s
+            if job.remaining_prefill_s is not None:
+                wait += job.remaining_prefill_s
             else:
-                held = sum(p in self._cache or p in coming for p in job.chain)
-                wait += self._prefill_s(job, held)
-            coming.update(job.chain)
+                cached = sum(p in self._cache or p in pending for p in job.chain)
+                wait += self._prefill_s(job, cached)
+            pending.update(job.chain)
         return wait
 
     def report(self) -> LoadReport:
-        """Return the load as it is now."""
+        """Return a report of the current load."""
         return LoadReport(
             self.incarnation, self._loop.now, self.queue_wait_s(), self.running
         )
 
     def take_event(self) -> CacheEvent | None:
-        """Return the changes since the last event, if there are any."""
-        changes = self._changes
+        """Return an event with the cache changes since the last event, if any."""
+        changes = self._pending_changes
         if not (changes.stored or changes.removed):
             return None
-        self._changes = _CacheChange()
+        self._pending_changes = _CacheChange()
         self._sequence += 1
         return CacheEvent(
             self.name,
@@ -156,122 +158,124 @@
         )
 
     def crash(self) -> None:
-        """Lose everything; the running requests fail."""
-        waiting = [job for _, _, job in self._queue if job.left_s is None]
+        """Drop the cache and the queue, and fail all requests."""
+        waiting = [job for _, _, job in self._queue if job.remaining_prefill_s is None]
         lost = list(self._running) + waiting
         self._incarnation += 1
-        self._clear()
+        self._reset()
         self.alive = False
         for job in lost:
             job.on_fail(job)
 
     def restart(self) -> None:
-        """Come back empty."""
+        """Accept requests again, with an empty cache."""
         self.alive = True
 
-    def load(self, weights: str) -> None:
-        """Take new weights; entries of the old ones are dropped."""
+    def load_weights(self, weights: str) -> None:
+        """Load new weights and drop the cache entries of the old weights."""
         self.weights = weights
-        self._changes.removed.extend(self._cache)
+        self._pending_changes.removed.extend(self._cache)
         self._cache.clear()
 
-    def _clear(self) -> None:
+    def _reset(self) -> None:
         self._queue: list[tuple[int, int, Job]] = []
         self._running: dict[Job, None] = {}
         self._cache: OrderedDict[bytes, None] = OrderedDict()
-        self._pins: Counter[bytes] = Counter()
+        self._pin_counts: Counter[bytes] = Counter()
         self._prefilling: Job | None = None
-        self._chunk_until = 0.0
-        self._changes = _CacheChange()
+        self._chunk_ends_at = 0.0
+        self._pending_changes = _CacheChange()
         self._sequence = 0
 
     def _prefill_s(self, job: Job, cached: int) -> float:
         uncached = (len(job.chain) - cached) * self.shape.piece_tokens
         return (uncached + job.tail_tokens) / self.shape.prefill_tokens_per_s
 
-    def _start_next(self) -> None:
-        """Compute a chunk of the first prompt by priority, then by arrival."""
+    def _start_next_chunk(self) -> None:
+        """Start a chunk of the next prompt, by priority and then by arrival."""
         if self._prefilling:
             return
-        entry = self._next_entry()
+        entry = self._pop_next_entry()
         if entry is None:
             return
         job = entry[2]
-        if job.left_s is None:
-            self._begin(job)
-        chunk_s = min(job.left_s, self._chunk_s)
+        if job.remaining_prefill_s is None:
+            self._start_prefill(job)
+        chunk_s = min(job.remaining_prefill_s, self._chunk_s)
         self._prefilling = job
-        self._chunk_until = self._loop.now + chunk_s
-        self._at(chunk_s, lambda: self._end_chunk(entry, chunk_s))
+        self._chunk_ends_at = self._loop.now + chunk_s
+        self._schedule(chunk_s, lambda: self._finish_chunk(entry, chunk_s))
 
-    def _next_entry(self) -> tuple[int, int, Job] | None:
+    def _pop_next_entry(self) -> tuple[int, int, Job] | None:
         if len(self._running) < self.shape.slots:
             return heapq.heappop(self._queue) if self._queue else None
-        # Without a free slot only begun prompts go on.
-        begun = [entry for entry in self._queue if entry[2].left_s is not None]
-        if not begun:
+        # While all slots are in use, only started prefills continue.
+        started = [
+            entry for entry in self._queue if entry[2].remaining_prefill_s is not None
+        ]
+        if not started:
             return None
-        entry = min(begun)
+        entry = min(started)
         self._queue.remove(entry)
         heapq.heapify(self._queue)
         return entry
 
-    def _begin(self, job: Job) -> None:
+    def _start_prefill(self, job: Job) -> None:
         self._running[job] = None
         job.cached = self.cached_pieces(job.chain)
-        self._touch(job.chain[: job.cached])
-        self._pins.update(job.chain)
-        job.imported = self._importable(job)
-        job.left_s = self._prefill_s(job, job.cached + job.imported)
+        self._mark_used(job.chain[: job.cached])
+        self._pin_counts.update(job.chain)
+        job.imported = self._count_importable(job)
+        job.remaining_prefill_s = self._prefill_s(job, job.cached + job.imported)
         if job.imported:
             tokens = job.imported * self.shape.piece_tokens
-            job.left_s += self.shape.import_overhead_s
-            job.left_s += tokens / self.shape.import_tokens_per_s
+            job.remaining_prefill_s += self.shape.import_overhead_s
+            job.remaining_prefill_s += tokens / self.shape.import_tokens_per_s
 
-    def _importable(self, job: Job) -> int:
-        """Return the pieces that the source still holds and this engine lacks."""
+    def _count_importable(self, job: Job) -> int:
+        """Return the number of pieces that only the source still caches."""
         if job.import_from is None or not job.import_from.alive:
             return 0
-        held = job.import_from.cached_pieces(job.chain[: job.import_pieces])
-        return max(0, held - job.cached)
+        importable = job.import_from.cached_pieces(job.chain[: job.import_pieces])
+        return max(0, importable - job.cached)
 
-    def _end_chunk(self, entry: tuple[int, int, Job], chunk_s: float) -> None:
+    def _finish_chunk(self, entry: tuple[int, int, Job], chunk_s: float) -> None:
         job = entry[2]
         self._prefilling = None
-        job.left_s -= chunk_s
-        if job.left_s > _ROUNDING_S:
+        job.remaining_prefill_s -= chunk_s
+        if job.remaining_prefill_s > _ROUNDING_S:
             heapq.heappush(self._queue, entry)
         else:
-            self._end_prefill(job)
-        self._start_next()
+            self._finish_prefill(job)
+        self._start_next_chunk()
 
-    def _end_prefill(self, job: Job) -> None:
+    def _finish_prefill(self, job: Job) -> None:
         missed = job.chain[job.cached + job.imported :]
         job.wasted = sum(prefix in self.seen for prefix in missed)
         self.seen.update(missed)
         self._store(job.chain)
         job.on_first(job)
         token_s = self.shape.token_s + self.shape.token_s_per_running * self.running
-        self._at(job.output_tokens * token_s, lambda: self._end(job))
+        self._schedule(job.output_tokens * token_s, lambda: self._finish(job))
 
-    def _end(self, job: Job) -> None:
+    def _finish(self, job: Job) -> None:
         self._running.pop(job, None)
         for prefix in job.chain:
-            self._pins[prefix] -= 1
-            if not self._pins[prefix]:
-                del self._pins[prefix]
+            self._pin_counts[prefix] -= 1
+            if not self._pin_counts[prefix]:
+                del self._pin_counts[prefix]
         job.on_done(job)
-        self._start_next()
+        self._start_next_chunk()
 
-    def _touch(self, chain: tuple[bytes, ...]) -> None:
-        # The deepest piece is touched first, so that it is evicted first.
+    def _mark_used(self, chain: tuple[bytes, ...]) -> None:
+        # The deepest piece is marked first, so that it is evicted first.
         for prefix in reversed(chain):
             self._cache.move_to_end(prefix)
 
     def _store(self, chain: tuple[bytes, ...]) -> None:
         for prefix in reversed(chain):
             if prefix not in self._cache:
-                self._changes.stored.append(prefix)
+                self._pending_changes.stored.append(prefix)
             self._cache[prefix] = None
             self._cache.move_to_end(prefix)
         self._evict()
@@ -280,12 +284,12 @@
         excess = len(self._cache) - self.shape.cache_pieces
         if excess <= 0:
             return
-        free = (prefix for prefix in self._cache if prefix not in self._pins)
-        for prefix in list(itertools.islice(free, excess)):
+        unpinned = (prefix for prefix in self._cache if prefix not in self._pin_counts)
+        for prefix in list(itertools.islice(unpinned, excess)):
             del self._cache[prefix]
-            self._changes.removed.append(prefix)
+            self._pending_changes.removed.append(prefix)
 
-    def _at(self, delay: float, action: Callable[[], None]) -> None:
+    def _schedule(self, delay: float, action: Callable[[], None]) -> None:
         incarnation = self._incarnation
 
         def run() -> None:
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -1,4 +1,4 @@
-"""What happens to engines and routers in each case."""
+"""Schedules the faults of engines and routers for each case."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     from benchmarks.engine import Engine
     from benchmarks.simulation import Simulation
 
-#: Seconds by which the platform's list lags.
+#: Delay of changes in the platform's list, in seconds.
 LIST_LAG_S = 5.0
 
-#: Seconds between two looks at whether an engine has become idle.
+#: Interval between checks of whether a draining engine is idle, in seconds.
 DRAIN_POLL_S = 0.2
 
 
@@ -24,30 +24,30 @@
     third = simulation.run.until / 3
     loop, case = simulation.loop, simulation.run.case
     if case is Case.ENGINE_LOST:
-        loop.after(third, lambda: _lose(simulation, "engine-2"))
-        loop.after(2 * third, lambda: _return(simulation, "engine-2"))
+        loop.after(third, lambda: _crash_engine(simulation, "engine-2"))
+        loop.after(2 * third, lambda: _restart_engine(simulation, "engine-2"))
     elif case is Case.ROLLOUT:
         names = list(simulation.engines)
-        loop.after(third, lambda: _roll(simulation, names))
+        loop.after(third, lambda: _roll_out_weights(simulation, names))
     elif case is Case.RESTART:
         loop.after(third, simulation.restart_routers)
         loop.after(2 * third, simulation.restart_routers)
 
 
-def _lose(simulation: Simulation, name: str) -> None:
+def _crash_engine(simulation: Simulation, name: str) -> None:
     engine = simulation.engines[name]
     incarnation = engine.incarnation
     engine.crash()
-    _list_later(simulation, name, incarnation, LifeState.LOST)
+    _publish_life_state(simulation, name, incarnation, LifeState.LOST)
 
 
-def _return(simulation: Simulation, name: str) -> None:
+def _restart_engine(simulation: Simulation, name: str) -> None:
     engine = simulation.engines[name]
     engine.restart()
-    _list_later(simulation, name, engine.incarnation, LifeState.LIVE)
+    _publish_life_state(simulation, name, engine.incarnation, LifeState.LIVE)
 
 
-def _list_later(
+def _publish_life_state(
     simulation: Simulation, name: str, incarnation: str, state: LifeState
 ) -> None:
     report = LifeStateChanged(Subject.TARGET, name, incarnation, state, "list")
@@ -55,27 +55,33 @@
     simulation.loop.after(LIST_LAG_S, lambda: states.__setitem__(name, report))
 
 
-def _roll(simulation: Simulation, names: list[str]) -> None:
-    """Bring the engines to new weights one after the other."""
+def _roll_out_weights(simulation: Simulation, names: list[str]) -> None:
+    """Load new weights on the engines one after the other."""
     if not names:
         return
-    name, rest = names[0], names[1:]
+    name, remaining_names = names[0], names[1:]
     engine = simulation.engines[name]
     simulation.view.versions[name] = ""
-    _when_idle(simulation, engine, lambda: _load(simulation, engine, rest))
+    _run_when_idle(
+        simulation, engine, lambda: _load_weights(simulation, engine, remaining_names)
+    )
 
 
-def _when_idle(simulation: Simulation, engine: Engine, action) -> None:
+def _run_when_idle(simulation: Simulation, engine: Engine, action) -> None:
     if engine.is_idle:
         action()
         return
-    simulation.loop.after(DRAIN_POLL_S, lambda: _when_idle(simulation, engine, action))
+    simulation.loop.after(
+        DRAIN_POLL_S, lambda: _run_when_idle(simulation, engine, action)
+    )
 
 
-def _load(simulation: Simulation, engine: Engine, rest: list[str]) -> None:
-    def ready() -> None:
+def _load_weights(
+    simulation: Simulation, engine: Engine, remaining_names: list[str]
+) -> None:
+    def on_loaded() -> None:
         simulation.view.versions[engine.name] = "v2"
-        _roll(simulation, rest)
+        _roll_out_weights(simulation, remaining_names)
 
-    engine.load("v2")
-    simulation.loop.after(engine.shape.load_s, ready)
+    engine.load_weights("v2")
+    simulation.loop.after(engine.shape.load_s, on_loaded)
--- a/benchmarks/fleet_choice.py
+++ b/benchmarks/fleet_choice.py
@@ -1,4 +1,4 @@
-"""Time of a fleet router's choice of an engine for a prompt of several parts.
+"""Measures the time of a router's choice of an engine for a prompt of several parts.
 
 Run with ``python -m benchmarks.fleet_choice``.
 """
@@ -25,11 +25,11 @@
 from berylnotch.placement.chains import PrefixChain, PromptPart, make_prefix_chain
 from berylnotch.placement.ring import Ring
 
-#: Longest time that is told apart, in microseconds.
-HIGHEST_US = 1_000_000
+#: Longest time that the histogram records, in microseconds.
+MAX_RECORDED_US = 1_000_000
 
-#: Tokens of each part of a prompt, and of an engine's memory.
-PART_TOKENS, MEMORY = 2_000, 300_000
+#: Tokens of each part of a prompt, and of an engine's cache.
+PART_TOKENS, CACHE_TOKENS = 2_000, 300_000
 
 
 def get_parser() -> argparse.ArgumentParser:
@@ -49,12 +49,12 @@
     """Measure and print the percentiles."""
     args = get_parser().parse_args(argv)
     rng = random.Random(1)
-    engines = [_engine(number) for number in range(args.engines)]
+    engines = [_make_target(number) for number in range(args.engines)]
     by_id = {engine.target_id: engine for engine in engines}
     ring = Ring([(engine.target_id, engine) for engine in engines])
-    memory, times = CacheModel(), HdrHistogram(1, HIGHEST_US, 3)
+    cache_model, choice_times_us = CacheModel(), HdrHistogram(1, MAX_RECORDED_US, 3)
     for number in range(args.decisions):
-        chain = _chain(rng.randrange(args.subjects), args.parts)
+        chain = _make_chain(rng.randrange(args.subjects), args.parts)
         prefix_hashes = chain.prefix_hashes("v1")
         inputs = ChoiceInputs(
             now=float(number) / 1000,
@@ -64,39 +64,43 @@
             prompt_tokens=args.parts * PART_TOKENS,
             sample=args.sample,
             draw=rng.randrange,
-            cached_levels=lambda t, m=prefix_hashes: memory.cached_levels(
+            cached_levels=lambda t, m=prefix_hashes: cache_model.cached_levels(
                 0.0, t.target_id, m
             ),
             holders=lambda m=prefix_hashes: [
-                by_id[name] for name in memory.holders(m, MAX_HOLDERS, rng.randrange)
+                by_id[name]
+                for name in cache_model.holders(m, MAX_HOLDERS, rng.randrange)
             ],
             ring_walk=ring.walk,
         )
-        begun = time.perf_counter()
+        started = time.perf_counter()
         choice = choose(engines, inputs)
-        times.record_value(max(1, int(1e6 * (time.perf_counter() - begun))))
+        choice_times_us.record_value(max(1, int(1e6 * (time.perf_counter() - started))))
         for level, prefix_hash in zip(chain.levels, prefix_hashes, strict=True):
             note = PromptNote(prefix_hash, level.tokens, choice.target.target_id)
-            memory.record_prefill(0.0, note, MEMORY)
-        memory.take_notes()
+            cache_model.record_prefill(0.0, note, CACHE_TOKENS)
+        cache_model.take_notes()
     for percentile in (50.0, 99.0, 99.9):
-        value = times.get_value_at_percentile(percentile)
+        value = choice_times_us.get_value_at_percentile(percentile)
         print(f"engines={args.engines} parts={args.parts} p{percentile:g}={value} us")
     return 0
 
 
-def _engine(number: int) -> Target:
+def _make_target(number: int) -> Target:
     models = (ModelVersion("m", 1),)
     listed = ListedTarget(f"e{number}", "llm", "10.0.0.1:1", "d", 64, models=models)
     return Target(listed, Ejection(MembershipSettings()))
 
 
-def _chain(subject: int, parts: int) -> PrefixChain:
-    """Return a chain of a tree: half of the subjects share each further part."""
+def _make_chain(subject: int, parts: int) -> PrefixChain:
+    """Return the chain of a subject.
+
+    The chains form a tree: each further part is shared by fewer subjects.
+    """
     names = [f"{depth}-{subject % 2 ** (3 * depth)}" for depth in range(parts - 1)]
     shared = [PromptPart(name, PART_TOKENS) for name in names]
-    own = PromptPart("own", PART_TOKENS)
-    return make_prefix_chain((*shared, own), parts * PART_TOKENS)
+    unshared = PromptPart("own", PART_TOKENS)
+    return make_prefix_chain((*shared, unshared), parts * PART_TOKENS)
 
 
 if __name__ == "__main__":
--- a/tests/test_benchmarks/test_clairvoyant.py
+++ b/tests/test_benchmarks/test_clairvoyant.py
@@ -5,8 +5,8 @@
     Arrival,
     Bound,
     get_parser,
-    play,
     read_arrivals,
+    simulate,
 )
 
 LINE = (
@@ -24,43 +24,46 @@
         "time=2026-08-10T04:36:20.000Z level=INFO event=started",
     ]
     arrivals = read_arrivals(lines)
-    assert [(a.tokens, a.opening, a.version) for a in arrivals] == [
+    assert [(a.tokens, a.prefix_id, a.version) for a in arrivals] == [
         (380, "a1", 0),
         (17_000, "a1", 3),
     ]
     assert arrivals[1].at_s - arrivals[0].at_s == pytest.approx(1.0)
 
 
-def test_one_engine_reads_in_turn_and_keeps_what_it_read():
-    # A whole prompt takes 0.36 s, its own part 0.08 s.
+def test_engine_prefills_one_prompt_at_a_time_and_caches_its_prefix():
+    # Prefill of a whole prompt takes 0.36 s, that of its unshared part 0.08 s.
     arrivals = [Arrival(0.0, 17_020, "p", 1)] * 6
-    assert play(arrivals, 1, 140_000, 1.0, 0.3) == Bound(6, 1.0, 1.0)
+    assert simulate(arrivals, 1, 140_000, 1.0, 0.3) == Bound(6, 1.0, 1.0)
     arrivals = [Arrival(0.0, 17_020, f"p{n}", 1) for n in range(6)]
-    bound = play(arrivals, 1, 140_000, 1.0, 0.3)
-    assert bound.in_time == pytest.approx(2 / 6)
+    bound = simulate(arrivals, 1, 140_000, 1.0, 0.3)
+    assert bound.on_time_share == pytest.approx(2 / 6)
     assert bound.credit == pytest.approx(2 / 6 + 4 / 6 * 0.3)
 
 
-def test_new_weights_void_what_was_read():
+def test_new_weights_invalidate_cached_prefixes():
     arrivals = [Arrival(0.0, 17_020, "p", version) for version in range(6)]
-    assert play(arrivals, 1, 140_000, 1.0, 0.0).in_time == pytest.approx(2 / 6)
+    assert simulate(arrivals, 1, 140_000, 1.0, 0.0).on_time_share == pytest.approx(
+        2 / 6
+    )
 
 
-def test_an_engine_that_was_away_comes_back_empty():
+def test_engine_returns_from_an_absence_with_an_empty_cache():
     arrivals = [Arrival(at / 2, 17_020, "p", 1) for at in range(4)]
-    assert play(arrivals, 1, 140_000, 0.3, 0.0).in_time == 3 / 4
-    away = [Absence(0.9, 1.2, 1)]
-    # The third waits for the engine and reads all again, the fourth is in time.
-    assert play(arrivals, 1, 140_000, 0.3, 0.0, away).in_time == 2 / 4
-    assert main_parts("1:2.5:3") == Absence(1.0, 2.5, 3)
+    assert simulate(arrivals, 1, 140_000, 0.3, 0.0).on_time_share == 3 / 4
+    absences = [Absence(0.9, 1.2, 1)]
+    # The third request waits for the engine, which prefills the whole prompt again;
+    # the fourth is in time.
+    assert simulate(arrivals, 1, 140_000, 0.3, 0.0, absences).on_time_share == 2 / 4
+    assert parse_away_option("1:2.5:3") == Absence(1.0, 2.5, 3)
     with pytest.raises(SystemExit):
-        main_parts("soon")
+        parse_away_option("soon")
 
 
-def main_parts(text):
+def parse_away_option(text):
     common = "log --engines 1 --memory 1 --target-ms 1 --late-part 0".split()
     return get_parser().parse_args([*common, "--away", text]).away[0]
 
 
-def test_nothing_arrived():
-    assert play([], 3, 140_000, 1.0, 0.3).count == 0
+def test_no_arrivals_give_an_empty_bound():
+    assert simulate([], 3, 140_000, 1.0, 0.3).count == 0
