--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -76,7 +76,7 @@
 
 def measure_claims(fleet: LocalFleet, count: int, in_flight: int) -> None:
     """Commit claims, ``in_flight`` at a time, with real file syncs."""
-    peers = _PeerConnections(fleet, "entry-1")
+    connections = _PeerConnections(fleet, "entry-1")
     leader = fleet.controllers[fleet.leader()]
     histogram = HdrHistogram(1, 60_000_000, 3)
     free_slots = threading.Semaphore(in_flight)
@@ -95,7 +95,7 @@
             free_slots.release()
 
         request = ProposeRequest(encode(claim))
-        peers.peers.call(leader, request, 10.0).add_done_callback(on_proposed)
+        connections.peers.call(leader, request, 10.0).add_done_callback(on_proposed)
 
     started_at = time.monotonic()
     for number in range(count):
@@ -110,7 +110,7 @@
         f"p99 {histogram.get_value_at_percentile(99) / 1000:.1f} ms, "
         f"{len(failed)} failed"
     )
-    peers.close()
+    connections.close()
 
 
 @define
@@ -126,12 +126,12 @@
 
 def measure_subscribers(fleet: LocalFleet, count: int, seconds: float) -> None:
     """Measure many subscriptions, while idle and during a change."""
-    peers = _PeerConnections(fleet, "subscribers")
+    connections = _PeerConnections(fleet, "subscribers")
     addresses = tuple(fleet.controllers.values())
     subscribers = [_Subscriber(addresses[n % len(addresses)]) for n in range(count)]
     stopped = threading.Event()
     for subscriber in subscribers:
-        _start_subscription(peers, subscriber, stopped)
+        _start_subscription(connections, subscriber, stopped)
     _wait_until(lambda: all(s.version for s in subscribers))
     before = _cpu_times_s(fleet)
     for subscriber in subscribers:
@@ -159,7 +159,7 @@
         f"{histogram.get_value_at_percentile(50) / 1e6:.3f} s); idle: "
         f"{idle_bytes:.0f} B/s each in messages, controllers' core: {shares}"
     )
-    peers.close()
+    connections.close()
 
 
 def measure_router(fleet: LocalFleet, seconds: float) -> None:
@@ -235,7 +235,7 @@
 
 
 def _start_subscription(
-    peers: _PeerConnections, subscriber: _Subscriber, stopped: threading.Event
+    connections: _PeerConnections, subscriber: _Subscriber, stopped: threading.Event
 ) -> None:
     incarnation = secrets.token_hex(4)
 
@@ -244,7 +244,7 @@
             return
         request = SyncRequest("entry-1", incarnation, subscriber.version, _SYNC_WAIT_MS)
         subscriber.bytes += len(encode(request))
-        future = peers.peers.call(subscriber.address, request, 5.0)
+        future = connections.peers.call(subscriber.address, request, 5.0)
         future.add_done_callback(on_sync_done)
 
     def on_sync_done(done) -> None:
@@ -254,9 +254,9 @@
             if reply.version > subscriber.version:
                 subscriber.version = reply.version
                 subscriber.changed_at = time.monotonic()
-        peers.loop.call_later(0.0, send_sync)
+        connections.loop.call_later(0.0, send_sync)
 
-    peers.loop.call_soon(send_sync)
+    connections.loop.call_soon(send_sync)
 
 
 def _cpu_times_s(fleet: LocalFleet) -> dict[str, float]:
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -233,7 +233,7 @@
             job.remaining_prefill_s += tokens / self.shape.import_tokens_per_s
 
     def _count_importable(self, job: Job) -> int:
-        """Return the number of pieces that only the source still caches."""
+        """Return the number of pieces cached at the source and not at this engine."""
         if job.import_from is None or not job.import_from.alive:
             return 0
         importable = job.import_from.cached_pieces(job.chain[: job.import_pieces])
@@ -250,9 +250,9 @@
         self._start_next_chunk()
 
     def _finish_prefill(self, job: Job) -> None:
-        missed = job.chain[job.cached + job.imported :]
-        job.wasted = sum(prefix in self.seen for prefix in missed)
-        self.seen.update(missed)
+        computed = job.chain[job.cached + job.imported :]
+        job.wasted = sum(prefix in self.seen for prefix in computed)
+        self.seen.update(computed)
         self._store(job.chain)
         job.on_first(job)
         token_s = self.shape.token_s + self.shape.token_s_per_running * self.running
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -21,17 +21,17 @@
 
 def schedule(simulation: Simulation) -> None:
     """Schedule the faults of the run's case."""
-    third = simulation.run.until / 3
+    third_s = simulation.run.until / 3
     loop, case = simulation.loop, simulation.run.case
     if case is Case.ENGINE_LOST:
-        loop.after(third, lambda: _crash_engine(simulation, "engine-2"))
-        loop.after(2 * third, lambda: _restart_engine(simulation, "engine-2"))
+        loop.after(third_s, lambda: _crash_engine(simulation, "engine-2"))
+        loop.after(2 * third_s, lambda: _restart_engine(simulation, "engine-2"))
     elif case is Case.ROLLOUT:
         names = list(simulation.engines)
-        loop.after(third, lambda: _roll_out_weights(simulation, names))
+        loop.after(third_s, lambda: _roll_out_weights(simulation, names))
     elif case is Case.RESTART:
-        loop.after(third, simulation.restart_routers)
-        loop.after(2 * third, simulation.restart_routers)
+        loop.after(third_s, simulation.restart_routers)
+        loop.after(2 * third_s, simulation.restart_routers)
 
 
 def _crash_engine(simulation: Simulation, name: str) -> None:
--- a/benchmarks/fleet_choice.py
+++ b/benchmarks/fleet_choice.py
@@ -95,7 +95,7 @@
 def _make_chain(subject: int, parts: int) -> PrefixChain:
     """Return the chain of a subject.
 
-    The chains form a tree: each further part is shared by fewer subjects.
+    The chains form a tree: every 8**depth-th subject shares the part at a depth.
     """
     names = [f"{depth}-{subject % 2 ** (3 * depth)}" for depth in range(parts - 1)]
     shared = [PromptPart(name, PART_TOKENS) for name in names]
