--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,4 +1,8 @@
-"""The organisations' limits in a run: one owner, and grants at each router."""
+"""Token limits of the organisations in a simulation, with one quota owner.
+
+The owner hands out grants to the routers; each router admits requests against its
+grants and queues those that lack tokens.
+"""
 
 from __future__ import annotations
 
@@ -19,62 +23,65 @@
     from benchmarks.workload import Request
     from berylnotch.fleet.model import Fleet, Organisation
 
-#: Seconds before the run at which the owner started, so that buckets are full.
+#: Age in seconds of the owner at the start of the run, so that all buckets are full.
 OWNER_AGE_S = 100.0
 
-#: Seconds between a router and the owner, one way.
+#: One-way network delay in seconds between a router and the owner.
 ONE_WAY_S = 0.001
 
-#: Seconds between two looks at whether a router should ask the owner.
+#: Interval in seconds at which a router checks whether a grant request is due.
 ASK_POLL_S = 0.05
 
-#: Time constant in seconds of the use behind the priorities. Ten seconds hold
-#: too few requests of a small organisation: one session made it lose priority
-#: against one that sends five times its rate.
+#: Time constant in seconds of the usage average that priorities are computed from.
+#: Ten seconds cover too few requests of a small organisation: a single session made
+#: it lose priority to an organisation that sends five times its rate.
 USAGE_WINDOW_S = 60.0
 
-#: Seconds for which a request waits for tokens at most.
-WAIT_S = 10.0
+#: Longest time in seconds that a request waits for tokens.
+MAX_WAIT_S = 10.0
 
 
 @define
-class _IdealBucket:
-    """One bucket that is charged with all that runs, and refilled at once."""
+class _ReferenceBucket:
+    """One central token bucket, against which wrongful refusals are judged.
+
+    It is charged with every request that runs and refilled without delay.
+    """
 
     limit: Organisation
     level: float
-    at: float = 0.0
-    waiting: dict[int, int] = field(factory=dict)
+    updated_at: float = 0.0
+    waiting_tokens: dict[int, int] = field(factory=dict)
 
-    def has(self, now: float, tokens: int) -> bool:
-        """Refill, and return whether so many tokens are there."""
-        refilled = self.level + (now - self.at) * self.limit.rate
+    def has_tokens(self, now: float, tokens: int) -> bool:
+        """Refill the bucket and return whether it holds ``tokens``."""
+        refilled = self.level + (now - self.updated_at) * self.limit.rate
         self.level = min(float(self.limit.burst), refilled)
-        self.at = now
+        self.updated_at = now
         return tokens <= self.level
 
-    def take(self, now: float, tokens: int) -> None:
-        """Charge a request that runs."""
-        self.has(now, tokens)
+    def take_tokens(self, now: float, tokens: int) -> None:
+        """Charge the tokens of a request that runs."""
+        self.has_tokens(now, tokens)
         self.level -= tokens
 
 
 @frozen
-class _Waiting:
+class _QueuedRequest:
     number: int
     tokens: int
-    is_inside: bool
+    is_within_limit: bool
     deadline: float
-    run: Callable[[], None]
-    refuse: Callable[[bool], None]
+    on_admitted: Callable[[], None]
+    on_refused: Callable[[bool], None]
 
 
 @define
-class _Desk:
-    """One router's grants and the requests that wait for tokens there."""
+class _RouterState:
+    """Grants of one router and its queues of requests that wait for tokens."""
 
     quota: LocalQuota
-    waiting: dict[str, deque[_Waiting]]
+    queues: dict[str, deque[_QueuedRequest]]
 
 
 class Limits:
@@ -86,88 +93,98 @@
         self._routers = routers
         self._settings = QuotaSettings(usage_window_s=USAGE_WINDOW_S)
         self._owner = QuotaOwner(self._settings, 1, -OWNER_AGE_S)
-        self._desks = {name: self._new_desk() for name in routers}
-        self._ideal = {
-            name: _IdealBucket(organisation, float(organisation.burst))
+        self._router_states = {name: self._new_state() for name in routers}
+        self._reference_buckets = {
+            name: _ReferenceBucket(organisation, float(organisation.burst))
             for name, organisation in fleet.organisations.items()
         }
 
     def start(self, until: float) -> None:
-        """Begin the routers' exchanges with the owner."""
-        for name in self._desks:
+        """Start the periodic exchanges of grants between the routers and the owner."""
+        for name in self._router_states:
             self._loop.every(
-                ASK_POLL_S, until + WAIT_S, lambda name=name: self._poll(name)
+                ASK_POLL_S, until + MAX_WAIT_S, lambda name=name: self._poll(name)
             )
 
-    def forget(self, router: Router) -> None:
-        """Take a router's grants away, as its process is new.
+    def reset_router(self, router: Router) -> None:
+        """Discard the grants of a router whose process has restarted.
 
-        Requests that wait for tokens come back to the new process.
+        Requests that wait for tokens are handed to the new process.
         """
         name = router.vm.address
-        waiting = self._desks[name].waiting
-        self._desks[name] = _Desk(LocalQuota(self._settings), waiting)
+        queues = self._router_states[name].queues
+        self._router_states[name] = _RouterState(LocalQuota(self._settings), queues)
 
     def priority(self, router: Router, organisation: str) -> int:
-        """Return the priority for engines, 0 (best) to 9."""
-        return self._desks[router.vm.address].quota.priority(organisation)
+        """Return the priority that is sent to engines, from 0 (highest) to 9."""
+        return self._router_states[router.vm.address].quota.priority(organisation)
 
     def admit(
         self,
         router: Router,
         request: Request,
-        run: Callable[[], None],
-        refuse: Callable[[bool], None],
+        on_admitted: Callable[[], None],
+        on_refused: Callable[[bool], None],
     ) -> None:
-        """Charge a request and run it, let it wait for tokens, or refuse it.
+        """Run a request, queue it until tokens arrive, or refuse it.
 
-        ``refuse`` is told whether the request came inside the limit: whether one
-        bucket, charged with all that ran, held enough tokens for it and for
-        all that waited already.
+        The argument of ``on_refused`` says whether the request was within the limit:
+        whether the reference bucket held enough tokens for this request and for all
+        that were queued before it.
         """
         now, organisation = self._loop.now, request.organisation
         tokens = request.pieces * 1024 + request.tail_tokens + request.output_tokens
-        ideal = self._ideal[organisation]
-        is_inside = ideal.has(now, tokens + sum(ideal.waiting.values()))
-        ideal.waiting[request.number] = tokens
-        desk = self._desks[router.vm.address]
-        line = desk.waiting.setdefault(organisation, deque())
-        line.append(
-            _Waiting(request.number, tokens, is_inside, now + WAIT_S, run, refuse)
+        bucket = self._reference_buckets[organisation]
+        is_within_limit = bucket.has_tokens(
+            now, tokens + sum(bucket.waiting_tokens.values())
+        )
+        bucket.waiting_tokens[request.number] = tokens
+        state = self._router_states[router.vm.address]
+        queue = state.queues.setdefault(organisation, deque())
+        queue.append(
+            _QueuedRequest(
+                request.number,
+                tokens,
+                is_within_limit,
+                now + MAX_WAIT_S,
+                on_admitted,
+                on_refused,
+            )
         )
-        self._serve(desk, organisation)
-        if line and desk.quota.retry_after_ms(organisation):
-            # The newest is refused; those before it are closer to their tokens.
-            self._refuse(organisation, line.pop())
-            self._serve(desk, organisation)
-
-    def _refuse(self, organisation: str, waiting: _Waiting) -> None:
-        del self._ideal[organisation].waiting[waiting.number]
-        waiting.refuse(waiting.is_inside)
-
-    def _new_desk(self) -> _Desk:
-        return _Desk(LocalQuota(self._settings), {})
-
-    def _serve(self, desk: _Desk, organisation: str) -> None:
-        now, line = self._loop.now, desk.waiting[organisation]
-        ideal = self._ideal[organisation]
-        while line:
-            head = line[0]
-            if desk.quota.charge(now, organisation, head.tokens):
-                line.popleft()
-                del ideal.waiting[head.number]
-                ideal.take(now, head.tokens)
-                head.run()
+        self._serve(state, organisation)
+        if queue and state.quota.retry_after_ms(organisation):
+            # The newest request is refused, because the requests queued before it
+            # get their tokens first.
+            self._refuse(organisation, queue.pop())
+            self._serve(state, organisation)
+
+    def _refuse(self, organisation: str, queued: _QueuedRequest) -> None:
+        del self._reference_buckets[organisation].waiting_tokens[queued.number]
+        queued.on_refused(queued.is_within_limit)
+
+    def _new_state(self) -> _RouterState:
+        return _RouterState(LocalQuota(self._settings), {})
+
+    def _serve(self, state: _RouterState, organisation: str) -> None:
+        now, queue = self._loop.now, state.queues[organisation]
+        bucket = self._reference_buckets[organisation]
+        while queue:
+            head = queue[0]
+            if state.quota.charge(now, organisation, head.tokens):
+                queue.popleft()
+                del bucket.waiting_tokens[head.number]
+                bucket.take_tokens(now, head.tokens)
+                head.on_admitted()
                 continue
             if now <= head.deadline:
                 break
-            self._refuse(organisation, line.popleft())
-        wanted = sum(waiting.tokens for waiting in line)
-        desk.quota.want(organisation, wanted, line[0].tokens if line else 0)
+            self._refuse(organisation, queue.popleft())
+        wanted_tokens = sum(queued.tokens for queued in queue)
+        state.quota.want(organisation, wanted_tokens, queue[0].tokens if queue else 0)
 
     def _poll(self, name: str) -> None:
-        desk, now = self._desks[name], self._loop.now
-        if now < desk.quota.next_ask_at:
+        state, now = self._router_states[name], self._loop.now
+        if now < state.quota.next_ask_at:
             return
         vm = self._routers[name].vm
         request = GrantRequest(
@@ -176,20 +193,20 @@
             http_address=vm.address,
             failure_domain=vm.failure_domain,
             leaving=False,
-            asks=desk.quota.asks(now),
-            sequence=desk.quota.sequence,
+            asks=state.quota.asks(now),
+            sequence=state.quota.sequence,
         )
-        self._loop.after(ONE_WAY_S, lambda: self._grant(name, desk, now, request))
+        self._loop.after(ONE_WAY_S, lambda: self._grant(name, state, now, request))
 
     def _grant(
-        self, name: str, desk: _Desk, sent_at: float, request: GrantRequest
+        self, name: str, state: _RouterState, sent_at: float, request: GrantRequest
     ) -> None:
         organisations = self._fleet.organisations
         reply = self._owner.grant(self._loop.now, request, organisations)
 
         def receive() -> None:
-            desk.quota.receive(sent_at, reply)
-            for organisation in desk.waiting:
-                self._serve(desk, organisation)
+            state.quota.receive(sent_at, reply)
+            for organisation in state.queues:
+                self._serve(state, organisation)
 
         self._loop.after(ONE_WAY_S, receive)
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -20,37 +20,37 @@
 from benchmarks.stream_check import StreamCheck
 
 _PATH = "/v1/completions"
-_HIGHEST_US = 120_000_000
-_DIGITS = 3
+_MAX_TIME_US = 120_000_000
+_SIGNIFICANT_DIGITS = 3
 _REQUEST_TIMEOUT_S = 120
 
 
 @frozen
 class LoadSettings:
-    """What is asked of the system.
+    """Parameters of the generated load.
 
     Attributes
     ----------
     addresses : tuple of str
-        ``IP:PORT`` of routers or engines, taken in turn.
+        ``IP:PORT`` of routers or engines, used in rotation.
     keys : tuple of str
-        Callers' keys, taken in turn; none if empty.
+        Callers' keys, used in rotation; requests carry no key if empty.
     model : str
-        Model asked for.
+        Requested model.
     rate : float
         Requests a second.
     duration_s : float
-        Time in which requests begin.
+        Time in seconds during which requests are sent.
     warmup_s : float
-        Time from the start whose requests are checked but not timed.
+        Time in seconds from the start; its requests are checked but not timed.
     tokens : int
-        Tokens of each answer.
+        Tokens of each response.
     prompt_bytes : int
-        Length of the prompt's shared opening.
+        Length in bytes of the prompt's shared prefix.
     openings : int
-        Number of different openings.
+        Number of different shared prefixes.
     seed : int
-        Seed of arrival times.
+        Seed of the arrival times.
     """
 
     addresses: tuple[str, ...]
@@ -78,28 +78,28 @@
 
 @frozen
 class LoadReport:
-    """What the callers saw.
+    """Results of a run, measured at the callers.
 
     Attributes
     ----------
     first_event, gap, lateness : Quantiles
         Time from a request's due time to its first event, time between events,
-        and lateness of the requests themselves, which shows whether the load
-        generator kept up.
+        and delay of each request behind its due time. The delay shows whether the
+        load generator kept up.
     requests, whole : int
-        Requests, and those whose stream was whole.
+        Requests sent, and requests whose stream was complete and correct.
     events, events_per_s : float
-        Events received, and a second while the load was steady.
+        Events received, and events per second in the steady part of the run.
     lost, duplicated, out_of_order, wrong : int
-        Events of streams that began.
+        Faulty events, counted over the streams that began.
     refused : mapping of str to int
-        Requests without a stream, by status or curl's error.
+        Requests that received no event, by HTTP status or curl error.
     broken : mapping of str to int
-        Streams that began and weren't whole, by what was seen.
+        Streams that began and were incomplete or faulty, by error.
     most_open : int
-        Most streams open at once.
+        Highest number of concurrent streams.
     generator_cpu_share : float
-        Processor time of the load generator over wall time.
+        Processor time of the load generator divided by wall time.
     """
 
     first_event: Quantiles
@@ -120,15 +120,15 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, _HIGHEST_US, _DIGITS)
+    return HdrHistogram(1, _MAX_TIME_US, _SIGNIFICANT_DIGITS)
 
 
 @define
 class Totals:
     """Counters of a run.
 
-    ``steady_from`` and ``steady_to`` bound the time in which the load neither
-    rises nor falls.
+    ``steady_from`` and ``steady_to`` bound the period of constant load, in seconds of
+    the monotonic clock.
     """
 
     steady_from: float = 0.0
@@ -150,17 +150,19 @@
 
 
 class Stream:
-    """One request and its answer."""
+    """One request and the measurements of its response stream."""
 
-    def __init__(self, totals: Totals, tokens: int, due: float, timed: bool) -> None:
+    def __init__(
+        self, totals: Totals, tokens: int, due_at: float, is_timed: bool
+    ) -> None:
         self.check = StreamCheck(tokens)
         self._totals = totals
-        self._due = due
-        self._timed = timed
-        self._last = 0.0
+        self._due_at = due_at
+        self._is_timed = is_timed
+        self._last_event_at = 0.0
 
     def on_data(self, data: bytes) -> None:
-        """Take bytes of the answer."""
+        """Check received bytes and record the times of their events."""
         now = time.monotonic()
         events = self.check.feed(data)
         if not events:
@@ -168,17 +170,17 @@
         totals = self._totals
         if totals.steady_from <= now < totals.steady_to:
             totals.steady_events += events
-        if self._timed:
-            if not self._last:
-                totals.first_event.record_value(int((now - self._due) * 1e6))
+        if self._is_timed:
+            if not self._last_event_at:
+                totals.first_event.record_value(int((now - self._due_at) * 1e6))
             else:
-                totals.gap.record_value(max(1, int((now - self._last) * 1e6)))
+                totals.gap.record_value(max(1, int((now - self._last_event_at) * 1e6)))
             for _ in range(events - 1):
                 totals.gap.record_value(1)
-        self._last = now
+        self._last_event_at = now
 
     def on_end(self, status: int, error: str) -> None:
-        """Count the answer."""
+        """Add the finished stream to the totals."""
         totals, check = self._totals, self.check
         totals.events += check.events
         if check.is_whole:
@@ -194,7 +196,7 @@
         totals.broken[check.error or error or "no end marker"] += 1
 
 
-class Generator:
+class LoadGenerator:
     """Sends requests at their due times over one event loop."""
 
     def __init__(self, settings: LoadSettings) -> None:
@@ -204,48 +206,48 @@
         self._multi = pycurl.CurlMulti()
         self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._on_socket)
         self._multi.setopt(pycurl.M_TIMERFUNCTION, self._on_timer)
-        self._curl_due: float | None = None
-        self._open: dict[pycurl.Curl, Stream] = {}
-        self._spare: deque[pycurl.Curl] = deque()
-        self._bodies = [self._opening(i) for i in range(settings.openings)]
+        self._curl_due_at: float | None = None
+        self._open_streams: dict[pycurl.Curl, Stream] = {}
+        self._idle_handles: deque[pycurl.Curl] = deque()
+        self._prefixes = [self._make_shared_prefix(i) for i in range(settings.openings)]
         self.totals = Totals()
 
-    def run(self, tick: Callable[[], None] = lambda: None) -> LoadReport:
-        """Send the load, wait for the answers and return what was seen."""
+    def run(self, on_tick: Callable[[], None] = lambda: None) -> LoadReport:
+        """Send the load, wait for all responses and return the report."""
         settings = self._settings
-        cpu = time.process_time()
+        cpu_start_s = time.process_time()
         start = time.monotonic()
         self.totals.steady_from = start + settings.warmup_s
         self.totals.steady_to = start + settings.duration_s
-        due = start
-        while due < start + settings.duration_s or self._open:
-            begins = due < start + settings.duration_s
-            self._wait(due if begins else time.monotonic() + 0.1)
-            if begins and time.monotonic() >= due:
-                self._begin(due, due >= start + settings.warmup_s)
-                due += self._random.expovariate(settings.rate)
-            tick()
+        due_at = start
+        while due_at < start + settings.duration_s or self._open_streams:
+            is_sending = due_at < start + settings.duration_s
+            self._wait_for_events(due_at if is_sending else time.monotonic() + 0.1)
+            if is_sending and time.monotonic() >= due_at:
+                self._send_request(due_at, due_at >= start + settings.warmup_s)
+                due_at += self._random.expovariate(settings.rate)
+            on_tick()
         wall_s = time.monotonic() - start
-        share = (time.process_time() - cpu) / wall_s
+        share = (time.process_time() - cpu_start_s) / wall_s
         return self._report(share)
 
-    def _opening(self, number: int) -> str:
+    def _make_shared_prefix(self, number: int) -> str:
         text = f"Contract {number}. " + "The seller ships the goods. " * 10_000
         return text[: self._settings.prompt_bytes]
 
-    def _begin(self, due: float, timed: bool) -> None:
+    def _send_request(self, due_at: float, is_timed: bool) -> None:
         settings, totals = self._settings, self.totals
         number = totals.requests
         totals.requests += 1
-        if timed:
-            lateness = time.monotonic() - due
+        if is_timed:
+            lateness = time.monotonic() - due_at
             totals.lateness.record_value(max(1, int(lateness * 1e6)))
-        stream = Stream(totals, settings.tokens, due, timed)
-        curl = self._spare.pop() if self._spare else pycurl.Curl()
+        stream = Stream(totals, settings.tokens, due_at, is_timed)
+        curl = self._idle_handles.pop() if self._idle_handles else pycurl.Curl()
         address = settings.addresses[number % len(settings.addresses)]
         body = {
             "model": settings.model,
-            "prompt": f"{self._bodies[number % settings.openings]} No. {number}",
+            "prompt": f"{self._prefixes[number % settings.openings]} No. {number}",
             "max_tokens": settings.tokens,
             "stream": True,
         }
@@ -259,45 +261,45 @@
         curl.setopt(pycurl.HTTPHEADER, headers)
         curl.setopt(pycurl.TIMEOUT, _REQUEST_TIMEOUT_S)
         curl.setopt(pycurl.WRITEFUNCTION, stream.on_data)
-        self._open[curl] = stream
-        totals.most_open = max(totals.most_open, len(self._open))
+        self._open_streams[curl] = stream
+        totals.most_open = max(totals.most_open, len(self._open_streams))
         self._multi.add_handle(curl)
 
-    def _wait(self, until: float) -> None:
-        if self._curl_due is not None:
-            until = min(until, self._curl_due)
+    def _wait_for_events(self, until: float) -> None:
+        if self._curl_due_at is not None:
+            until = min(until, self._curl_due_at)
         ready = self._selector.select(max(0.0, until - time.monotonic()))
         for key, events in ready:
             mask = pycurl.CSELECT_IN if events & selectors.EVENT_READ else 0
             if events & selectors.EVENT_WRITE:
                 mask |= pycurl.CSELECT_OUT
             self._multi.socket_action(key.fd, mask)
-        if self._curl_due is not None and time.monotonic() >= self._curl_due:
-            self._curl_due = None
+        if self._curl_due_at is not None and time.monotonic() >= self._curl_due_at:
+            self._curl_due_at = None
             self._multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
-        self._reap()
+        self._finish_completed()
 
-    def _reap(self) -> None:
+    def _finish_completed(self) -> None:
         while True:
-            queued, done, failed = self._multi.info_read()
+            n_queued, done, failed = self._multi.info_read()
             for curl in done:
-                self._end(curl, "")
+                self._finish_request(curl, "")
             for curl, code, _message in failed:
-                self._end(curl, f"curl {code}")
-            if not queued:
+                self._finish_request(curl, f"curl {code}")
+            if not n_queued:
                 return
 
-    def _end(self, curl: pycurl.Curl, error: str) -> None:
+    def _finish_request(self, curl: pycurl.Curl, error: str) -> None:
         status = curl.getinfo(pycurl.RESPONSE_CODE)
-        self._open.pop(curl).on_end(status, error)
+        self._open_streams.pop(curl).on_end(status, error)
         self._multi.remove_handle(curl)
         curl.reset()
-        self._spare.append(curl)
+        self._idle_handles.append(curl)
 
     def _on_socket(self, event: int, fd: int, _multi: object, _data: object) -> None:
-        known = fd in self._selector.get_map()
+        is_registered = fd in self._selector.get_map()
         if event == pycurl.POLL_REMOVE:
-            if known:
+            if is_registered:
                 self._selector.unregister(fd)
             return
         events = 0
@@ -305,15 +307,15 @@
             events |= selectors.EVENT_READ
         if event in (pycurl.POLL_OUT, pycurl.POLL_INOUT):
             events |= selectors.EVENT_WRITE
-        if known:
+        if is_registered:
             self._selector.modify(fd, events)
         else:
             self._selector.register(fd, events)
 
     def _on_timer(self, timeout_ms: int) -> None:
-        self._curl_due = None
+        self._curl_due_at = None
         if timeout_ms >= 0:
-            self._curl_due = time.monotonic() + timeout_ms / 1000
+            self._curl_due_at = time.monotonic() + timeout_ms / 1000
 
     def _report(self, cpu_share: float) -> LoadReport:
         totals = self.totals
@@ -340,14 +342,16 @@
 
 
 def _quantiles(histogram: HdrHistogram) -> Quantiles:
-    def at(quantile: float) -> float:
+    def value_ms(quantile: float) -> float:
         return round(histogram.get_value_at_percentile(quantile) / 1000, 2)
 
-    return Quantiles(histogram.total_count, at(50), at(95), at(99), at(100))
+    return Quantiles(
+        histogram.total_count, value_ms(50), value_ms(95), value_ms(99), value_ms(100)
+    )
 
 
 def get_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the command-line parser."""
     defaults = LoadSettings(addresses=())
     parser = argparse.ArgumentParser(
         prog="python -m benchmarks.load",
@@ -368,7 +372,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Print the report as JSON; return 1 if a stream wasn't whole."""
+    """Print the report as JSON; return 1 if a stream was incomplete or faulty."""
     args = get_parser().parse_args(argv)
     settings = LoadSettings(
         addresses=tuple(args.address),
@@ -382,16 +386,16 @@
         openings=args.openings,
         seed=args.seed,
     )
-    before = read_process_stat(args.pid) if args.pid else None
+    stat_before = read_process_stat(args.pid) if args.pid else None
     start = time.monotonic()
-    report = Generator(settings).run()
-    answer = attrs.asdict(report)
-    if before is not None:
-        after = read_process_stat(args.pid)
+    report = LoadGenerator(settings).run()
+    output = attrs.asdict(report)
+    if stat_before is not None:
+        stat_after = read_process_stat(args.pid)
         wall_s = time.monotonic() - start
-        answer["cpu_share"] = round((after.cpu_s - before.cpu_s) / wall_s, 3)
-        answer["peak_rss_mb"] = round(after.peak_rss_mb, 1)
-    print(json.dumps(answer, indent=2))
+        output["cpu_share"] = round((stat_after.cpu_s - stat_before.cpu_s) / wall_s, 3)
+        output["peak_rss_mb"] = round(stat_after.peak_rss_mb, 1)
+    print(json.dumps(output, indent=2))
     return 0 if report.whole == report.requests else 1
 
 
--- a/benchmarks/loop.py
+++ b/benchmarks/loop.py
@@ -1,4 +1,4 @@
-"""An event loop on simulated time."""
+"""Event loop on simulated time."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Loop:
-    """Runs actions in order of their time; ``now`` is in seconds."""
+    """Runs scheduled actions in order of time; ``now`` is in simulated seconds."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._order = itertools.count()
-        self._actions: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
 
     def after(self, delay: float, action: Callable[[], None]) -> None:
         """Run ``action`` in ``delay`` seconds."""
-        entry = (self.now + delay, next(self._order), action)
-        heapq.heappush(self._actions, entry)
+        entry = (self.now + delay, next(self._sequence), action)
+        heapq.heappush(self._scheduled, entry)
 
     def every(self, period: float, until: float, action: Callable[[], None]) -> None:
         """Run ``action`` periodically up to ``until``."""
@@ -31,7 +31,7 @@
         self.after(period, run)
 
     def run(self) -> None:
-        """Run until nothing is left."""
-        while self._actions:
-            self.now, _, action = heapq.heappop(self._actions)
+        """Run until no scheduled action remains."""
+        while self._scheduled:
+            self.now, _, action = heapq.heappop(self._scheduled)
             action()
--- a/benchmarks/plot.py
+++ b/benchmarks/plot.py
@@ -1,4 +1,4 @@
-"""Drawing of the policies' figures."""
+"""Bar charts of the figures of the compared policies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from benchmarks.figures import Summary
     from benchmarks.simulation import Run
 
-#: Panels of the picture: title, figure of a run, whether its axis is logarithmic.
+#: Panels of each row: title, plotted value, and whether the axis is logarithmic.
 _PANELS: tuple[tuple[str, Callable[[Summary], float], bool], ...] = (
     ("prefix hit rate, %", lambda s: 100.0 * s.hit_rate, False),
     ("first token p99, s", lambda s: s.ttft_p99_ms / 1000.0, True),
@@ -26,11 +26,11 @@
 
 
 def draw(results: list[tuple[Run, Summary]], path: str) -> None:
-    """Draw one row for each deployment and one column for each figure."""
+    """Save a chart with one row for each deployment and one column for each figure."""
     shapes = list(dict.fromkeys(run.shape.name for run, _ in results))
     cases = list(dict.fromkeys(run.case for run, _ in results))
     policies = list(dict.fromkeys(run.policy for run, _ in results))
-    found = {(r.shape.name, r.case, r.policy): summary for r, summary in results}
+    summaries = {(r.shape.name, r.case, r.policy): summary for r, summary in results}
     figure, axes = pyplot.subplots(
         len(shapes), len(_PANELS), figsize=(22, 5 * len(shapes)), squeeze=False
     )
@@ -38,9 +38,9 @@
     for row, shape in zip(axes, shapes, strict=True):
         for axis, (title, value, is_log) in zip(row, _PANELS, strict=True):
             for index, policy in enumerate(policies):
-                heights = [value(found[shape, case, policy]) for case in cases]
-                places = [x + index * width for x in range(len(cases))]
-                axis.bar(places, heights, width, label=policy)
+                heights = [value(summaries[shape, case, policy]) for case in cases]
+                positions = [x + index * width for x in range(len(cases))]
+                axis.bar(positions, heights, width, label=policy)
             axis.set_title(f"{shape}: {title}")
             axis.set_xticks([x + 0.4 for x in range(len(cases))])
             labels = [case.value for case in cases]
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -13,13 +13,13 @@
 from attrs import evolve
 
 from benchmarks.figures import Summary
-from benchmarks.policy import COMPARED, POLICIES
-from benchmarks.shapes import SHAPES, Case, shape_named
+from benchmarks.policy import DEFAULT_POLICIES, POLICIES
+from benchmarks.shapes import SHAPES, Case, get_shape
 from benchmarks.simulation import Run, Simulation
 
 
 def get_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(prog="benchmarks.policies", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="first seed")
     parser.add_argument("--seeds", type=int, default=3, help="seeds of each run")
@@ -40,13 +40,13 @@
     """Run all combinations and print their figures."""
     args = get_parser().parse_args(argv)
     runs = [
-        Run(shape_named(shape), Case(case), policy, args.seed, args.seconds)
+        Run(get_shape(shape), Case(case), policy, args.seed, args.seconds)
         for shape in args.shape or [s.name for s in SHAPES]
         for case in args.case or [c.value for c in Case]
-        for policy in args.policy or COMPARED
+        for policy in args.policy or DEFAULT_POLICIES
     ]
     with ProcessPoolExecutor(args.workers) as pool:
-        summaries = pool.map(execute, runs, [args.seeds] * len(runs))
+        summaries = pool.map(execute_run, runs, [args.seeds] * len(runs))
         results = list(zip(runs, summaries, strict=True))
     print_table(results)
     if args.plot:
@@ -56,32 +56,35 @@
     return 0
 
 
-def execute(run: Run, seeds: int) -> Summary:
-    """Execute a run with several seeds, in a worker process."""
-    figures = Simulation(run).execute()
+def execute_run(run: Run, seeds: int) -> Summary:
+    """Execute a run with ``seeds`` successive seeds and return the merged summary.
+
+    Called in a worker process.
+    """
+    figures = Simulation(run).execute_run()
     for seed in range(run.seed + 1, run.seed + seeds):
-        figures.add(Simulation(evolve(run, seed=seed)).execute())
+        figures.add(Simulation(evolve(run, seed=seed)).execute_run())
     return figures.summary()
 
 
 def print_table(results: list[tuple[Run, Summary]]) -> None:
     """Print one line for each run."""
     previous = None
-    for run, found in results:
+    for run, summary in results:
         if previous != (run.shape.name, run.case):
             previous = (run.shape.name, run.case)
             print(f"\n{run.shape.name}: {run.case.value}, seeds from {run.seed}")
             print(HEADER)
         print(
-            f"{run.policy:13}{found.requests:6}{100 * found.hit_rate:7.1f}"
-            f"{found.ttft_p50_ms:8.0f}{found.ttft_p99_ms:8.0f}"
-            f"{found.wasted_tokens / 1e6:8.2f}  {found.worst_organisation:11}"
-            f"{found.worst_p99_ms:8.0f}{found.wrongful_refusals:6}{found.refused:6}"
+            f"{run.policy:13}{summary.requests:6}{100 * summary.hit_rate:7.1f}"
+            f"{summary.ttft_p50_ms:8.0f}{summary.ttft_p99_ms:8.0f}"
+            f"{summary.wasted_tokens / 1e6:8.2f}  {summary.worst_organisation:11}"
+            f"{summary.worst_p99_ms:8.0f}{summary.wrongful_refusals:6}{summary.refused:6}"
         )
 
 
-#: Columns: hit rate in percent, times in ms, wasted tokens in millions, refusals
-#: inside and over the organisations' limits.
+#: Column titles: hit rate in percent, times in ms, wasted tokens in millions, and
+#: refusals of requests within and over the organisations' limits.
 HEADER = (
     f"{'policy':13}{'reqs':>6}{'hit %':>7}{'p50':>8}{'p99':>8}{'wasted':>8}"
     f"  {'worst':11}{'p99':>8}{'wrong':>6}{'over':>6}"
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""The compared policies by name."""
+"""Placement policies that the benchmarks compare, by name."""
 
 from __future__ import annotations
 
@@ -22,39 +22,44 @@
     from benchmarks.simulation import Simulation
     from berylnotch.placement.settings import PlacementSettings
 
-#: Policies that are compared unless others are asked for.
-COMPARED = ("ours", "random", "least-loaded", "thin", "all-knowing")
+#: Policies that are compared by default.
+DEFAULT_POLICIES = ("ours", "random", "least-loaded", "thin", "all-knowing")
 
 #: Names of all policies.
-POLICIES = (*COMPARED, "ours+import")
+POLICIES = (*DEFAULT_POLICIES, "ours+import")
 
 
 #: Policies that send the organisations' priorities to the engines.
-FAIR = ("ours", "ours+import", "all-knowing")
+PRIORITY_POLICIES = ("ours", "ours+import", "all-knowing")
 
 
 @frozen
 class Policy:
-    """A policy: what makes a router's chooser, and whether priorities are sent."""
+    """A placement policy.
 
-    make: Callable[[], tuple[Chooser, Placer | None]]
+    ``make_chooser`` returns the chooser of one router process, with its placer if
+    there is one. ``sends_priority`` says whether engines receive the organisations'
+    priorities.
+    """
+
+    make_chooser: Callable[[], tuple[Chooser, Placer | None]]
     sends_priority: bool
 
 
-def policy_named(name: str, simulation: Simulation) -> Policy:
-    """Return the policy for a run."""
+def make_policy(name: str, simulation: Simulation) -> Policy:
+    """Return the policy ``name``, set up for the run of ``simulation``."""
     settings = placement_settings(simulation.run.shape)
-    rate = simulation.run.shape.engine.import_tokens_per_s
-    importing = evolve(settings, import_tokens_per_s=rate)
+    import_rate = simulation.run.shape.engine.import_tokens_per_s
+    import_settings = evolve(settings, import_tokens_per_s=import_rate)
     seeds = iter(range(simulation.run.seed, simulation.run.seed + 1_000_000))
 
-    def ours(used: PlacementSettings) -> tuple[Chooser, Placer | None]:
-        placer = Placer(used)
-        return our_chooser(used, placer), placer
+    def make_own_chooser(placement: PlacementSettings) -> tuple[Chooser, Placer | None]:
+        placer = Placer(placement)
+        return our_chooser(placement, placer), placer
 
-    makers = {
-        "ours": lambda: ours(settings),
-        "ours+import": lambda: ours(importing),
+    factories = {
+        "ours": lambda: make_own_chooser(settings),
+        "ours+import": lambda: make_own_chooser(import_settings),
         "random": lambda: (random_chooser(next(seeds)), None),
         "least-loaded": lambda: (least_loaded_chooser(settings), None),
         "thin": lambda: (thin_chooser(), None),
@@ -63,4 +68,4 @@
             None,
         ),
     }
-    return Policy(makers[name], sends_priority=name in FAIR)
+    return Policy(factories[name], sends_priority=name in PRIORITY_POLICIES)
--- a/benchmarks/process_stat.py
+++ b/benchmarks/process_stat.py
@@ -12,14 +12,14 @@
 
 @frozen
 class ProcessStat:
-    """What a process has used.
+    """Processor time and memory that a process has used.
 
     Attributes
     ----------
     cpu_s : float
-        Processor time since its start, in seconds.
+        Processor time since the start of the process, in seconds.
     rss_mb, peak_rss_mb : float
-        Resident memory now and at its highest, in MB.
+        Current and highest resident memory, in MB.
     """
 
     cpu_s: float
@@ -28,9 +28,15 @@
 
 
 def read_process_stat(pid: int) -> ProcessStat:
-    """Read what a process has used; raises `OSError` if it is gone."""
+    """Read the processor time and memory of a process.
+
+    Raises
+    ------
+    OSError
+        If the process has ended.
+    """
     folder = Path("/proc") / str(pid)
-    # The second field is the program's name, which may hold spaces.
+    # The second field, the program's name, may contain spaces.
     fields = (folder / "stat").read_text().rpartition(")")[2].split()
     status = {}
     for line in (folder / "status").read_text().splitlines():
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -14,22 +14,23 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.quota_driver import Arrival, Driver, Outcome
-from benchmarks.quota_load import FleetLoad, FleetSize, Limits, Measured
+from benchmarks.quota_load import FleetLoad, FleetSize, Measurement, OrganisationLimits
 from berylnotch.quota import QuotaSettings
 
-#: Length of a driven run in seconds, and its rate in tokens a second.
+#: Length of a simulated run in seconds, and rate of each organisation in tokens a
+#: second.
 RUN_S = 30.0
 RATE = 2000.0
 
-#: Routers of a driven run.
+#: Number of routers in a simulated run.
 N_ROUTERS = 8
 
-#: Longest wait that is told apart, in milliseconds.
-HIGHEST_MS = 100_000
+#: Upper bound of the histograms of waiting times, in milliseconds.
+MAX_TIME_MS = 100_000
 
 
 def get_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(prog="benchmarks.quota", description=__doc__)
     parser.add_argument("--seconds", type=float, default=3.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -37,7 +38,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Print the owner's cost at several sizes, then the driven runs."""
+    """Print the owner's cost at several sizes, then the refusals of simulated runs."""
     args = get_parser().parse_args(argv)
     print_cost(args.seconds, args.seed)
     print_refusals(args.seed)
@@ -45,7 +46,7 @@
 
 
 def print_cost(seconds: float, seed: int) -> None:
-    """Print one line for each size of the fleet."""
+    """Print the owner's cost, one line for each fleet size."""
     print("Owner, all organisations at 60% of their rate:")
     print(
         "routers organisations requests/s lines/s core% codec% "
@@ -53,25 +54,25 @@
     )
     for routers, organisations in ((85, 725), (170, 1450), (340, 2900)):
         size = FleetSize(routers, organisations, 10_000 * routers / 340)
-        measured, memory_mb = measure(size, seconds, seed)
-        print(_cost_line(size, measured, memory_mb))
+        measurement, memory_mb = measure(size, seconds, seed)
+        print(_cost_line(size, measurement, memory_mb))
 
 
-def measure(size: FleetSize, seconds: float, seed: int) -> tuple[Measured, float]:
-    """Return the owner's work after a warm-up, and its memory in MB.
+def measure(size: FleetSize, seconds: float, seed: int) -> tuple[Measurement, float]:
+    """Return the owner's cost after a warm-up, and its memory in MB.
 
-    The memory is of the owner and all routers' states together, taken in a
-    second, shorter run since its tracing costs time.
+    The memory includes the state of the owner and of all routers. It is measured in a
+    second, shorter run, because memory tracing slows the owner down.
     """
     load = FleetLoad(QuotaSettings(), size, seed)
     load.run(2.0)
-    measured = load.run(seconds)
+    measurement = load.run(seconds)
     tracemalloc.start()
     traced = FleetLoad(QuotaSettings(), size, seed)
     traced.run(1.0)
     snapshot = tracemalloc.take_snapshot()
     tracemalloc.stop()
-    kept = snapshot.filter_traces(
+    owner_traces = snapshot.filter_traces(
         [
             tracemalloc.Filter(True, "*/quota/bucket.py"),
             tracemalloc.Filter(True, "*/quota/owner.py"),
@@ -79,28 +80,28 @@
             tracemalloc.Filter(True, "*/quota/usage.py"),
         ]
     )
-    total = sum(line.size for line in kept.statistics("filename"))
-    return measured, total / 1e6
+    total = sum(line.size for line in owner_traces.statistics("filename"))
+    return measurement, total / 1e6
 
 
-def _cost_line(size: FleetSize, measured: Measured, memory_mb: float) -> str:
-    seconds = measured.seconds
+def _cost_line(size: FleetSize, measurement: Measurement, memory_mb: float) -> str:
+    seconds = measurement.seconds
     per_node = seconds * size.routers
     return (
         f"{size.routers:7d} {size.organisations:13d} "
-        f"{measured.requests / seconds:10.0f} {measured.lines / seconds:7.0f} "
-        f"{100 * measured.grant_s / seconds:5.1f} "
-        f"{100 * measured.codec_s / seconds:6.1f} "
-        f"{measured.grant_us.get_value_at_percentile(50):6d} "
-        f"{measured.grant_us.get_value_at_percentile(99):6d} "
-        f"{measured.bytes_up / per_node:15.0f} "
-        f"{measured.bytes_down / per_node:4.0f} {memory_mb:8.1f} "
-        f"{100 * measured.late_charges / measured.charges:5.2f}"
+        f"{measurement.requests / seconds:10.0f} {measurement.asks / seconds:7.0f} "
+        f"{100 * measurement.grant_s / seconds:5.1f} "
+        f"{100 * measurement.codec_s / seconds:6.1f} "
+        f"{measurement.grant_us.get_value_at_percentile(50):6d} "
+        f"{measurement.grant_us.get_value_at_percentile(99):6d} "
+        f"{measurement.bytes_up / per_node:15.0f} "
+        f"{measurement.bytes_down / per_node:4.0f} {memory_mb:8.1f} "
+        f"{100 * measurement.late_charges / measurement.charges:5.2f}"
     )
 
 
 def print_refusals(seed: int) -> None:
-    """Print what became of organisations inside their rate."""
+    """Print refusals and waiting times of organisations that stay within their rate."""
     print()
     print(f"Driven runs, {N_ROUTERS} routers, 4 organisations at 90% of their rate:")
     print("case               requests refused wait_ms_p50 p99 max pause_ms_p99")
@@ -110,32 +111,32 @@
         "owner lost 3 s": (False, (10.0, 13.0)),
         "both": (True, (10.0, 13.0)),
     }
-    for name, (is_loud, gap) in cases.items():
-        outcomes, loud = _drive(seed, is_loud, gap)
+    for name, (has_overload, outage) in cases.items():
+        outcomes, overloading = _simulate(seed, has_overload, outage)
         print(_refusal_line(name, outcomes))
-        if loud is not None:
-            print(_refusal_line("  the 5x one", [loud]))
+        if overloading is not None:
+            print(_refusal_line("  the 5x one", [overloading]))
 
 
-def _drive(
-    seed: int, is_loud: bool, gap: tuple[float, float] | None
+def _simulate(
+    seed: int, has_overload: bool, outage: tuple[float, float] | None
 ) -> tuple[list[Outcome], Outcome | None]:
     rng = random.Random(seed)
-    limits = {f"quiet-{n}": Limits(RATE, 4 * RATE) for n in range(4)}
+    limits = {f"quiet-{n}": OrganisationLimits(RATE, 4 * RATE) for n in range(4)}
     arrivals: list[Arrival] = []
     for name in limits:
         arrivals += _arrivals(rng, name, 0.9)
-    quiet = tuple(limits)
-    if is_loud:
-        limits["loud"] = Limits(RATE, 4 * RATE)
+    conforming = tuple(limits)
+    if has_overload:
+        limits["loud"] = OrganisationLimits(RATE, 4 * RATE)
         arrivals += _arrivals(rng, "loud", 5.0)
     driver = Driver(QuotaSettings(), limits, N_ROUTERS)
-    lost, back = gap if gap else (None, None)
-    driver.run(arrivals, RUN_S + 60, lost, back)
-    return [driver.outcomes[name] for name in quiet], driver.outcomes.get("loud")
+    lost_at, back_at = outage if outage else (None, None)
+    driver.run(arrivals, RUN_S + 60, lost_at, back_at)
+    return [driver.outcomes[name] for name in conforming], driver.outcomes.get("loud")
 
 
-def _arrivals(rng: random.Random, name: str, part: float) -> list[Arrival]:
+def _arrivals(rng: random.Random, name: str, load_fraction: float) -> list[Arrival]:
     """Draw requests of 400 tokens on average, half of them output."""
     arrivals = []
     at = rng.random()
@@ -143,12 +144,12 @@
         prompt, output = rng.randint(50, 350), rng.randint(50, 350)
         router = rng.randrange(N_ROUTERS)
         arrivals.append(Arrival(at, router, name, prompt, output, 2.0))
-        at += (prompt + output) / (RATE * part)
+        at += (prompt + output) / (RATE * load_fraction)
     return arrivals
 
 
 def _refusal_line(name: str, outcomes: Sequence[Outcome]) -> str:
-    waits, pauses = HdrHistogram(1, HIGHEST_MS, 3), HdrHistogram(1, HIGHEST_MS, 3)
+    waits, pauses = HdrHistogram(1, MAX_TIME_MS, 3), HdrHistogram(1, MAX_TIME_MS, 3)
     for outcome in outcomes:
         for wait_s in outcome.waits:
             waits.record_value(max(1, round(wait_s * 1000)))
--- a/benchmarks/quota_driver.py
+++ b/benchmarks/quota_driver.py
@@ -1,8 +1,8 @@
-"""Drives the quota owner and routers through arrivals, in steps of time.
+"""Discrete-time simulation of the quota owner and its routers.
 
-A small fake of what surrounds the limits: requests that wait in a router for
-tokens and are refused when the owner says so or their wait is over, and
-streams that are charged as they go on.
+It models the admission queue and the streams of each router. Requests wait for tokens
+and are refused when the quota reports a retry delay, on arrival or after the longest
+wait. Streams are charged while they generate tokens.
 """
 
 from __future__ import annotations
@@ -23,16 +23,19 @@
     from berylnotch.quota.bucket import Limit
     from berylnotch.quota.messages import GrantReply
 
-#: Length of a step, and time that a message is under way, in seconds.
+#: Length of a step and one-way delay of a message, in seconds.
 STEP_S = 0.01
 
-#: Steps between two charges of a stream.
-STREAM_STEPS = 10
+#: Steps between two charges of a running stream.
+STREAM_CHARGE_STEPS = 10
 
 
 @frozen
 class Arrival:
-    """A request: prompt tokens at once, output tokens over ``duration_s``."""
+    """Arrival of a request.
+
+    Prompt tokens are charged at admission, output tokens over ``duration_s``.
+    """
 
     at: float
     router: int
@@ -44,7 +47,7 @@
 
 @define
 class Outcome:
-    """What became of one organisation's requests; times in seconds."""
+    """Admission results of one organisation; times are in seconds."""
 
     waits: list[float] = Factory(list)
     refused: int = 0
@@ -55,14 +58,14 @@
 @define
 class _Stream:
     organisation: str
-    left: int
+    remaining_tokens: int
     step_tokens: int
     paused_since: float | None = None
 
 
 @define
 class Router:
-    """A router's quota with the work that waits for it."""
+    """A router's quota, its queued requests and its streams."""
 
     name: str
     quota: LocalQuota
@@ -72,18 +75,18 @@
 
 
 class Driver:
-    """Runs one owner and several routers.
+    """Simulates one quota owner and several routers.
 
     Parameters
     ----------
     settings : QuotaSettings
-        Lifetimes and waits.
+        Lifetimes of grants and longest wait.
     limits : Mapping[str, Limit]
-        Organisations.
+        Limit of each organisation.
     n_routers : int
         Number of routers.
     loss : float, default=0.0
-        Part of the replies that are lost.
+        Fraction of the owner's replies that are lost, from 0 to 1.
     """
 
     def __init__(
@@ -114,32 +117,38 @@
         owner_lost: float | None = None,
         owner_back: float | None = None,
     ) -> None:
-        """Run to ``until``; a new owner may follow after a gap."""
+        """Run up to ``until``, in simulated seconds.
+
+        There is no owner from ``owner_lost`` to ``owner_back``; a new owner without the
+        state of the old one starts then.
+        """
         pending = deque(sorted(arrivals, key=lambda a: a.at))
         while (now := self._step * STEP_S) < until:
             self._change_owner(now, owner_lost, owner_back)
-            self._deliver()
+            self._deliver_replies()
             while pending and pending[0].at <= now:
-                self._arrive(now, pending.popleft())
+                self._on_arrival(now, pending.popleft())
             for router in self._routers:
                 self._serve(now, router)
-                self._ask(now, router)
+                self._send_asks(now, router)
             self._step += 1
 
-    def _change_owner(self, now: float, lost: float | None, back: float | None) -> None:
-        if lost is None or back is None:
+    def _change_owner(
+        self, now: float, lost_at: float | None, back_at: float | None
+    ) -> None:
+        if lost_at is None or back_at is None:
             return
-        if lost <= now < back:
+        if lost_at <= now < back_at:
             self._owner = None
-        elif now >= back and self._owner is None:
+        elif now >= back_at and self._owner is None:
             self._owner = QuotaOwner(self._settings, 2, now)
 
-    def _deliver(self) -> None:
+    def _deliver_replies(self) -> None:
         replies, self._replies = self._replies, []
         for router, reply in replies:
             router.quota.receive(router.sent_at, reply)
 
-    def _arrive(self, now: float, arrival: Arrival) -> None:
+    def _on_arrival(self, now: float, arrival: Arrival) -> None:
         router = self._routers[arrival.router]
         router.quota.balance(now, arrival.organisation)
         outcome = self.outcomes[arrival.organisation]
@@ -150,14 +159,16 @@
 
     def _serve(self, now: float, router: Router) -> None:
         paused: dict[str, int] = {}
-        if self._step % STREAM_STEPS == 0:
-            self._go_on(now, router, paused)
-        for organisation, line in router.waiting.items():
-            self._admit(now, router, organisation, line, paused)
+        if self._step % STREAM_CHARGE_STEPS == 0:
+            self._charge_streams(now, router, paused)
+        for organisation, queue in router.waiting.items():
+            self._admit(now, router, organisation, queue, paused)
 
-    def _go_on(self, now: float, router: Router, paused: dict[str, int]) -> None:
+    def _charge_streams(
+        self, now: float, router: Router, paused: dict[str, int]
+    ) -> None:
         for stream in router.streams:
-            tokens = min(stream.left, stream.step_tokens)
+            tokens = min(stream.remaining_tokens, stream.step_tokens)
             outcome = self.outcomes[stream.organisation]
             if not router.quota.charge(now, stream.organisation, tokens):
                 paused[stream.organisation] = tokens
@@ -166,44 +177,44 @@
                     stream.paused_since = now
                 continue
             outcome.charged += tokens
-            stream.left -= tokens
+            stream.remaining_tokens -= tokens
             if stream.paused_since is not None:
                 outcome.pauses.append(now - stream.paused_since)
                 stream.paused_since = None
-        router.streams = [s for s in router.streams if s.left > 0]
+        router.streams = [s for s in router.streams if s.remaining_tokens > 0]
 
     def _admit(
         self,
         now: float,
         router: Router,
         organisation: str,
-        line: deque[Arrival],
+        queue: deque[Arrival],
         paused: dict[str, int],
     ) -> None:
         outcome = self.outcomes[organisation]
-        while line and router.quota.charge(now, organisation, line[0].prompt):
-            arrival = line.popleft()
+        while queue and router.quota.charge(now, organisation, queue[0].prompt):
+            arrival = queue.popleft()
             outcome.waits.append(now - arrival.at)
             outcome.charged += arrival.prompt
             self._start_stream(router, arrival)
-        while line and now - line[0].at > self._settings.wait_s:
+        while queue and now - queue[0].at > self._settings.wait_s:
             if router.quota.retry_after_ms(organisation) == 0:
                 break
             outcome.refused += 1
-            line.popleft()
-        stalled = paused.get(organisation, 0)
-        wanted = sum(arrival.prompt for arrival in line) + stalled
-        first = stalled or (line[0].prompt if line else 0)
-        router.quota.want(organisation, wanted, first)
+            queue.popleft()
+        paused_tokens = paused.get(organisation, 0)
+        wanted_tokens = sum(arrival.prompt for arrival in queue) + paused_tokens
+        first_tokens = paused_tokens or (queue[0].prompt if queue else 0)
+        router.quota.want(organisation, wanted_tokens, first_tokens)
 
     def _start_stream(self, router: Router, arrival: Arrival) -> None:
         if not arrival.output:
             return
-        steps = max(1, round(arrival.duration_s / STEP_S / STREAM_STEPS))
+        steps = max(1, round(arrival.duration_s / STEP_S / STREAM_CHARGE_STEPS))
         tokens = max(1, arrival.output // steps)
         router.streams.append(_Stream(arrival.organisation, arrival.output, tokens))
 
-    def _ask(self, now: float, router: Router) -> None:
+    def _send_asks(self, now: float, router: Router) -> None:
         if now < router.quota.next_ask_at:
             return
         router.sent_at = now
--- a/benchmarks/quota_load.py
+++ b/benchmarks/quota_load.py
@@ -1,4 +1,4 @@
-"""The quota owner under the use of a whole fleet, in steps of time."""
+"""Load of a whole fleet on the quota owner, simulated in discrete time."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 STEP_S = 0.01
 
 #: Steps between two charges of running streams.
-STREAM_STEPS = 10
+STREAM_CHARGE_STEPS = 10
 
-#: Longest time that is told apart, in microseconds.
-HIGHEST_US = 1_000_000
+#: Upper bound of the histogram of grant times, in microseconds.
+MAX_TIME_US = 1_000_000
 
 
 @frozen
-class Limits:
-    """Limits of one organisation."""
+class OrganisationLimits:
+    """Limits of one organisation: tokens a second, tokens, and relative share."""
 
     rate: float
     burst: float
@@ -38,53 +38,62 @@
 
 @frozen
 class FleetSize:
-    """Size of the load; tokens are those of one request."""
+    """Size of the load.
+
+    ``prompt`` and ``output`` are tokens of one request; ``utilisation`` is the fraction
+    of their rate that organisations use, and ``burst_s`` is the burst
+    in seconds of the rate.
+    """
 
     routers: int
     organisations: int
     requests_per_s: float
     prompt: int = 2000
     output: int = 320
-    routers_each: int = 2
-    use: float = 0.6
+    min_routers_each: int = 2
+    utilisation: float = 0.6
     burst_s: float = 4.0
 
 
 @define
-class Pair:
-    """An organisation at one of its routers; ``due`` tokens wait."""
+class RouterLoad:
+    """Load of one organisation at one router; ``due_tokens`` are not charged yet."""
 
     router: int
     organisation: str
     requests_per_s: float
-    due: int = 0
+    due_tokens: int = 0
 
 
 @define
-class Measured:
-    """What the owner did, in processor time; ``grant_us`` is for one request."""
+class Measurement:
+    """Work of the owner; times are processor time.
+
+    ``grant_us`` is the time of one grant request. ``late_charges`` counts charges that
+    lacked tokens.
+    """
 
     seconds: float = 0.0
     requests: int = 0
-    lines: int = 0
+    asks: int = 0
     grant_s: float = 0.0
     codec_s: float = 0.0
     bytes_up: int = 0
     bytes_down: int = 0
     late_charges: int = 0
     charges: int = 0
-    grant_us: HdrHistogram = Factory(lambda: HdrHistogram(1, HIGHEST_US, 3))
+    grant_us: HdrHistogram = Factory(lambda: HdrHistogram(1, MAX_TIME_US, 3))
 
 
 class FleetLoad:
-    """Routers that charge to many organisations, and the owner.
+    """Simulates routers that charge many organisations, and the quota owner.
 
-    Organisations differ in size by a power law, and each is led to few routers.
+    Sizes of organisations follow a power law; each organisation uses few routers.
 
     Parameters
     ----------
     settings : QuotaSettings
-        Lifetimes and waits.
+        Lifetimes of grants and longest wait.
     size : FleetSize
         Size of the load.
     seed : int
@@ -96,15 +105,15 @@
         self._rng = random.Random(seed)
         self._owner = QuotaOwner(settings, 1, -10_000.0)
         self._quotas = [LocalQuota(settings) for _ in range(size.routers)]
-        self._limits: dict[str, Limits] = {}
-        self._pairs: list[Pair] = []
+        self._limits: dict[str, OrganisationLimits] = {}
+        self._router_loads: list[RouterLoad] = []
         self._step = 0
-        self.measured = Measured()
+        self.measurement = Measurement()
         self._populate()
 
-    def run(self, seconds: float) -> Measured:
-        """Run on for ``seconds`` of the model's time."""
-        self.measured = Measured(seconds=seconds)
+    def run(self, seconds: float) -> Measurement:
+        """Continue for ``seconds`` of simulated time and return the measurement."""
+        self.measurement = Measurement(seconds=seconds)
         for _ in range(round(seconds / STEP_S)):
             now = self._step * STEP_S
             self._charge_all(now)
@@ -112,7 +121,7 @@
                 if now >= quota.next_ask_at:
                     self._exchange(now, number, quota)
             self._step += 1
-        return self.measured
+        return self.measurement
 
     def _populate(self) -> None:
         size = self._size
@@ -121,42 +130,46 @@
         per_request = size.prompt + size.output
         for number, weight in enumerate(weights):
             requests_per_s = size.requests_per_s * weight / total
-            rate = max(1000.0, requests_per_s * per_request / size.use)
+            rate = max(1000.0, requests_per_s * per_request / size.utilisation)
             burst = max(rate * size.burst_s, 10.0 * size.prompt)
             name = f"organisation-{number:04d}"
-            self._limits[name] = Limits(rate, burst)
-            needed = requests_per_s / (size.requests_per_s / size.routers) * 1.5
-            spread = min(size.routers, max(size.routers_each, math.ceil(needed)))
-            for router in self._rng.sample(range(size.routers), spread):
-                self._pairs.append(Pair(router, name, requests_per_s / spread))
+            self._limits[name] = OrganisationLimits(rate, burst)
+            needed_routers = requests_per_s / (size.requests_per_s / size.routers) * 1.5
+            n_routers = min(
+                size.routers, max(size.min_routers_each, math.ceil(needed_routers))
+            )
+            for router in self._rng.sample(range(size.routers), n_routers):
+                self._router_loads.append(
+                    RouterLoad(router, name, requests_per_s / n_routers)
+                )
 
     def _charge_all(self, now: float) -> None:
-        streams = self._step % STREAM_STEPS == 0
-        span_s = STEP_S * STREAM_STEPS
-        for pair in self._pairs:
-            before = pair.due
-            if self._rng.random() < pair.requests_per_s * STEP_S:
-                pair.due += self._size.prompt
-            if streams:
-                running = pair.requests_per_s * self._size.output * span_s
-                pair.due += int(running + self._rng.random())
-            if pair.due:
-                self._charge(now, pair, before)
-
-    def _charge(self, now: float, pair: Pair, before: int) -> None:
-        quota = self._quotas[pair.router]
-        self.measured.charges += 1
-        if quota.charge(now, pair.organisation, pair.due):
-            pair.due = 0
-            if before:
-                quota.want(pair.organisation, 0)
+        is_stream_step = self._step % STREAM_CHARGE_STEPS == 0
+        span_s = STEP_S * STREAM_CHARGE_STEPS
+        for load in self._router_loads:
+            due_before = load.due_tokens
+            if self._rng.random() < load.requests_per_s * STEP_S:
+                load.due_tokens += self._size.prompt
+            if is_stream_step:
+                running = load.requests_per_s * self._size.output * span_s
+                load.due_tokens += int(running + self._rng.random())
+            if load.due_tokens:
+                self._charge(now, load, due_before)
+
+    def _charge(self, now: float, load: RouterLoad, due_before: int) -> None:
+        quota = self._quotas[load.router]
+        self.measurement.charges += 1
+        if quota.charge(now, load.organisation, load.due_tokens):
+            load.due_tokens = 0
+            if due_before:
+                quota.want(load.organisation, 0)
             return
-        self.measured.late_charges += 1
-        if pair.due != before:
-            quota.want(pair.organisation, pair.due)
+        self.measurement.late_charges += 1
+        if load.due_tokens != due_before:
+            quota.want(load.organisation, load.due_tokens)
 
     def _exchange(self, now: float, number: int, quota: LocalQuota) -> None:
-        measured = self.measured
+        measurement = self.measurement
         request = GrantRequest(
             vm=f"vm-{number:03d}",
             incarnation="0123456789abcdef",
@@ -166,19 +179,21 @@
             asks=quota.asks(now),
             sequence=quota.sequence,
         )
-        data = encode(request)
-        begun = time.thread_time()
-        request = decode(data)
-        received = time.thread_time()
+        request_data = encode(request)
+        begun_at = time.thread_time()
+        request = decode(request_data)
+        received_at = time.thread_time()
         reply = self._owner.grant(now, request, self._limits)
-        granted = time.thread_time()
-        answer = encode(reply)
-        done = time.thread_time()
-        quota.receive(now, decode(answer))
-        measured.requests += 1
-        measured.lines += len(request.asks)
-        measured.grant_s += granted - received
-        measured.codec_s += (received - begun) + (done - granted)
-        measured.bytes_up += len(data)
-        measured.bytes_down += len(answer)
-        measured.grant_us.record_value(max(1, round((granted - received) * 1e6)))
+        granted_at = time.thread_time()
+        reply_data = encode(reply)
+        done_at = time.thread_time()
+        quota.receive(now, decode(reply_data))
+        measurement.requests += 1
+        measurement.asks += len(request.asks)
+        measurement.grant_s += granted_at - received_at
+        measurement.codec_s += (received_at - begun_at) + (done_at - granted_at)
+        measurement.bytes_up += len(request_data)
+        measurement.bytes_down += len(reply_data)
+        measurement.grant_us.record_value(
+            max(1, round((granted_at - received_at) * 1e6))
+        )
--- a/benchmarks/router.py
+++ b/benchmarks/router.py
@@ -1,4 +1,4 @@
-"""Routers of a run and the control state that they see."""
+"""Simulated routers and the view of the control state that they read."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_fleet(shape: Shape, engines: dict[str, Engine]) -> Fleet:
-    """Return the fleet that an operators' text would describe."""
+    """Return the fleet configuration of a deployment."""
     domains = shape.failure_domains
     vms = {
         f"vm-{i}": Vm(f"vm-{i}", f"10.0.0.{i}:80", domains[i % len(domains)])
@@ -46,53 +46,53 @@
 
 @define
 class StandInView:
-    """What routers read of the control state."""
+    """Stand-in for the routers' view of the control state."""
 
     fleet: Fleet
     versions: dict[str, str]
     states: dict[str, LifeStateChanged] = field(factory=dict)
 
     def is_draining(self, subject: Subject, name: str) -> bool:
-        """Whether an operator drained the target or VM."""
+        """Return False, because no simulated operator drains a target or VM."""
         return False
 
     def life_report(self, subject: Subject, name: str) -> LifeStateChanged | None:
-        """Newest report of the platform's list."""
+        """Return the newest state change in the platform's list, if there is one."""
         return self.states.get(name)
 
     def life_state(self, subject: Subject, name: str) -> LifeState:
-        """State that the platform's list gives."""
-        found = self.states.get(name)
-        return found.state if found else LifeState.LIVE
+        """Return the state in the platform's list; live if it has no entry."""
+        report = self.states.get(name)
+        return report.state if report else LifeState.LIVE
 
     def weights(self, target: str) -> str:
-        """Weights version of a target; empty while it loads."""
+        """Return the weights version of a target; empty while it loads new weights."""
         return self.versions[target]
 
 
 class Router:
-    """One router process."""
+    """One simulated router and its current process."""
 
     def __init__(self, vm: Vm, policy: Policy) -> None:
         self.vm = vm
         self.failure_domain = vm.failure_domain
         self.restarts = 0
-        self._start(policy)
+        self._start_process(policy)
 
     def restart(self, policy: Policy) -> None:
-        """Start with nothing learned."""
+        """Start a new process, without target health and cache hints."""
         self.restarts += 1
-        self._start(policy)
+        self._start_process(policy)
 
-    def _start(self, policy: Policy) -> None:
+    def _start_process(self, policy: Policy) -> None:
         self.health = TargetHealth(MembershipSettings())
-        self._chooser, self._placer = policy.make()
+        self._chooser, self._placer = policy.make_chooser()
 
     def choose(self, question: Question) -> Choice | None:
-        """Place a request."""
+        """Return the target for a request, or None if no target is usable."""
         return self._chooser(question)
 
     def take_event(self, now: float, event: CacheEvent) -> None:
-        """Take a cache event."""
+        """Pass a cache event to the placer, if the policy has one."""
         if self._placer is not None:
             self._placer.cache_event(now, event)
--- a/benchmarks/router_cost.py
+++ b/benchmarks/router_cost.py
@@ -18,7 +18,7 @@
 import attrs
 from attrs import frozen
 
-from benchmarks.load import Generator, LoadReport, LoadSettings
+from benchmarks.load import LoadGenerator, LoadReport, LoadSettings
 from benchmarks.process_stat import ProcessStat, read_process_stat
 from berylnotch.control.commands import Status
 from berylnotch.standins.caller import CallerClient
@@ -33,7 +33,10 @@
 
 @frozen
 class Phase:
-    """One phase's report and what the router used while the load was steady."""
+    """Report of one phase, with the router's processor time and memory.
+
+    The processor share covers the period of steady load.
+    """
 
     through: str
     report: LoadReport
@@ -42,37 +45,37 @@
     router_peak_rss_mb: float
 
 
-class Sampler:
-    """Reads a process's use at the beginning and the end of the steady part."""
+class ProcessSampler:
+    """Samples a process at the beginning and the end of the steady load."""
 
     def __init__(self, pid: int, settings: LoadSettings) -> None:
         now = time.monotonic()
         self._pid = pid
-        self._dues = [now + settings.warmup_s, now + settings.duration_s]
+        self._due_times = [now + settings.warmup_s, now + settings.duration_s]
         self._samples: list[tuple[float, ProcessStat]] = []
 
     def tick(self) -> None:
         """Take a sample if one is due."""
         now = time.monotonic()
-        if len(self._samples) < 2 and now >= self._dues[len(self._samples)]:
+        if len(self._samples) < 2 and now >= self._due_times[len(self._samples)]:
             self._samples.append((now, read_process_stat(self._pid)))
 
     def phase(self, through: str, report: LoadReport) -> Phase:
-        """Return the phase with what the process used."""
+        """Return the phase, with the processor time and memory of the process."""
         (begin, before), (end, after) = self._samples
-        share = (after.cpu_s - before.cpu_s) / (end - begin)
+        cpu_share = (after.cpu_s - before.cpu_s) / (end - begin)
         return Phase(
             through,
             report,
-            router_cpu_share=round(share, 3),
+            router_cpu_share=round(cpu_share, 3),
             router_rss_mb=round(after.rss_mb, 1),
             router_peak_rss_mb=round(after.peak_rss_mb, 1),
         )
 
 
 @frozen
-class Bench:
-    """A fleet that serves, with its callers' keys."""
+class Deployment:
+    """A running fleet: addresses of its router and engines, and callers' keys."""
 
     fleet: LocalFleet
     router: str
@@ -80,39 +83,43 @@
     keys: tuple[str, ...]
 
 
-def start(fleet: LocalFleet, engine: tuple[str, ...] = _ENGINE) -> Bench:
-    """Start three controllers, a router and two engines."""
+def start_deployment(
+    fleet: LocalFleet, engine: tuple[str, ...] = _ENGINE
+) -> Deployment:
+    """Start three controllers, a router, two engines and a plain target."""
     fleet.start_controllers(("c1", "c2", "c3"), DOMAINS[:3])
     engines = tuple(
         (name, fleet.start_engine(name, *engine).address) for name in ("e1", "e2")
     )
     plain = (("p1", fleet.start_plain("p1").address),)
     routers = (("r1", fleet.start_router("r1", DOMAINS[0]).address),)
-    small = SmallFleet(
+    small_fleet = SmallFleet(
         routers, engines, plain, rate=_RATE, burst=_BURST, timeout="120 s"
     )
-    text = small_text(small)
+    text = small_text(small_fleet)
     for name, _address in engines:
         section = f"[target {name}]\n"
         text = text.replace(section, f"{section}capacity = {_CAPACITY} requests\n")
     result = fleet.apply(text, base_revision=0)
     if result.status is not Status.OK:
         raise ConditionError(result.message)
-    keys = tuple(fleet.give_key(name).key for name in small.organisations)
+    keys = tuple(fleet.give_key(name).key for name in small_fleet.organisations)
     for key in keys:
         caller = CallerClient(routers[0][1], key)
         wait_for(lambda c=caller: c.send("GET", "/v1/models").status == 200, "key")
-    return Bench(fleet, routers[0][1], tuple(a for _, a in engines), keys)
+    return Deployment(fleet, routers[0][1], tuple(a for _, a in engines), keys)
 
 
-def measure(bench: Bench, settings: LoadSettings, through: str) -> Phase:
-    """Run one phase."""
+def measure(deployment: Deployment, settings: LoadSettings, through: str) -> Phase:
+    """Run one phase: ``through`` is ``direct`` or ``router``."""
     if through == "direct":
-        settings = attrs.evolve(settings, addresses=bench.engines)
+        settings = attrs.evolve(settings, addresses=deployment.engines)
     else:
-        settings = attrs.evolve(settings, addresses=(bench.router,), keys=bench.keys)
-    sampler = Sampler(bench.fleet.children["r1"].pid, settings)
-    report = Generator(settings).run(sampler.tick)
+        settings = attrs.evolve(
+            settings, addresses=(deployment.router,), keys=deployment.keys
+        )
+    sampler = ProcessSampler(deployment.fleet.children["r1"].pid, settings)
+    report = LoadGenerator(settings).run(sampler.tick)
     return sampler.phase(through, report)
 
 
@@ -131,7 +138,7 @@
 
 
 def get_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(
         prog="python -m benchmarks.router_cost", description="Measure a router's cost."
     )
@@ -144,7 +151,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Print a table; return 1 if a stream wasn't whole."""
+    """Print a table; return 1 if a stream was incomplete or faulty."""
     args = get_parser().parse_args(argv)
     settings = LoadSettings(
         addresses=(), rate=args.rate, duration_s=args.duration_s, tokens=args.tokens
@@ -163,15 +170,15 @@
 
 
 def run(fleet: LocalFleet, settings: LoadSettings, rounds: int) -> list[Phase]:
-    """Start the fleet and run the phases in turn."""
-    bench = start(fleet)
+    """Start the fleet and alternate direct and routed phases."""
+    deployment = start_deployment(fleet)
     print(
         "through whole/asked events/s  open first50 first99   gap95   gap99  lost "
         "rtr_cpu rtr_MB  gen_cpu"
     )
     phases = []
     for through in ("direct", "router") * rounds:
-        phases.append(measure(bench, settings, through))
+        phases.append(measure(deployment, settings, through))
         print_phase(phases[-1])
     return phases
 
--- a/benchmarks/shapes.py
+++ b/benchmarks/shapes.py
@@ -1,4 +1,4 @@
-"""Shapes of the two deployments and the measured cases."""
+"""Parameters of the two simulated deployments, and the simulated cases."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Case(Enum):
-    """What happens during a run."""
+    """Fault or load change during a run."""
 
     HEALTHY = "healthy"
     ENGINE_LOST = "engine lost and back"
@@ -23,8 +23,8 @@
     """Speed and size of an engine.
 
     Times are in seconds, rates in tokens a second, memory in pieces of
-    ``piece_tokens``. Prompts are computed in chunks of ``chunk_pieces``, and
-    a prompt of better priority goes on first.
+    ``piece_tokens``. Prompts are prefilled in chunks of ``chunk_pieces``; after each
+    chunk, the prompt with the highest priority continues.
     """
 
     prefill_tokens_per_s: float = 16_000.0
@@ -43,8 +43,8 @@
 class OrganisationShape:
     """Traffic of one organisation.
 
-    ``requests_per_s`` is its ordinary traffic; ``rate`` and ``burst`` are its
-    limits in tokens (a second).
+    ``requests_per_s`` is its ordinary traffic. Its limits are ``rate`` in tokens a
+    second and ``burst`` in tokens.
     """
 
     name: str
@@ -59,15 +59,18 @@
 class Shape:
     """A deployment.
 
-    ``system_pieces``, ``document_pieces`` and ``turn_pieces`` bound the nested
-    levels of a long prompt; ``short_share`` of the requests hold only a shared
-    opening of ``short_pieces``.
+    ``system_pieces``, ``document_pieces`` and ``turn_pieces`` are the lengths of the
+    nested prefixes of a long prompt; a pair holds the lower and the upper bound. The
+    fraction ``short_share`` of the requests has only a shared prefix of
+    ``short_pieces``.
+    ``cross_domain_s`` and ``client_s`` are one-way network delays in seconds, between
+    failure domains and between a caller and a router.
     """
 
     name: str
     failure_domains: tuple[str, ...]
     routers: int
-    far_s: float
+    cross_domain_s: float
     client_s: float
     organisations: tuple[OrganisationShape, ...]
     system_pieces: int
@@ -82,25 +85,27 @@
 
 
 def _organisations(
-    names: tuple[str, ...], parts: tuple[int, ...], total_per_s: float, documents: int
+    names: tuple[str, ...], weights: tuple[int, ...], total_per_s: float, documents: int
 ) -> tuple[OrganisationShape, ...]:
-    made = []
-    for name, part in zip(names, parts, strict=True):
-        per_s = total_per_s * part / sum(parts)
-        own = max(2, documents * part // sum(parts))
+    organisations = []
+    for name, weight in zip(names, weights, strict=True):
+        requests_per_s = total_per_s * weight / sum(weights)
+        n_documents = max(2, documents * weight // sum(weights))
         # The limit leaves room for twice the ordinary traffic.
-        rate = 2.0 * per_s * 20_000.0
-        made.append(
-            OrganisationShape(name, per_s, own, rate, burst=20.0 * rate, share=part)
+        rate = 2.0 * requests_per_s * 20_000.0
+        organisations.append(
+            OrganisationShape(
+                name, requests_per_s, n_documents, rate, burst=20.0 * rate, share=weight
+            )
         )
-    return tuple(made)
+    return tuple(organisations)
 
 
 SENGUPTA = Shape(
     name="sengupta",
     failure_domains=("kolkata-a", "kolkata-b", "howrah", "durgapur"),
     routers=8,
-    far_s=0.0014,
+    cross_domain_s=0.0014,
     client_s=0.001,
     organisations=_organisations(
         ("exports", "brewery", "forwarder", "customs", "label"),
@@ -121,7 +126,7 @@
     name="tengerkhuch",
     failure_domains=("ub-sukhbaatar", "ub-khan-uul", "ub-bayanzurkh", "ub-chingeltei"),
     routers=6,
-    far_s=0.0009,
+    cross_domain_s=0.0009,
     client_s=0.003,
     organisations=_organisations(
         ("university", "wrestling", "federation", "clinic", "school"),
@@ -141,13 +146,13 @@
 SHAPES = (SENGUPTA, TENGERKHUCH)
 
 
-def shape_named(name: str) -> Shape:
-    """Return the deployment with this name."""
+def get_shape(name: str) -> Shape:
+    """Return the deployment ``name``."""
     return {shape.name: shape for shape in SHAPES}[name]
 
 
 def with_rate(shape: Shape, factor: float) -> Shape:
-    """Return the deployment with all traffic multiplied."""
+    """Return the deployment with all traffic multiplied by ``factor``."""
     organisations = tuple(
         evolve(o, requests_per_s=o.requests_per_s * factor) for o in shape.organisations
     )
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -1,4 +1,4 @@
-"""One run: routers with a policy, fake engines and a case."""
+"""Simulation of routers with a placement policy in front of fake engines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from benchmarks.figures import Figures
 from benchmarks.limits import Limits
 from benchmarks.loop import Loop
-from benchmarks.policy import Policy, policy_named
+from benchmarks.policy import Policy, make_policy
 from benchmarks.router import Router, StandInView, make_fleet
 from benchmarks.shapes import Case, Shape
 from benchmarks.workload import Request, Workload
@@ -20,17 +20,18 @@
 from berylnotch.membership.settings import MembershipSettings
 from berylnotch.membership.targets import Dispatch
 
-#: Seconds after which a caller gives up waiting for the first token.
+#: Seconds after which a caller stops waiting for the first token.
 DEADLINE_S = 30.0
 
-#: Seconds until a router sees that its connection to an engine is gone.
+#: Seconds until a router detects that its connection to an engine is lost.
 CONNECTION_LOST_S = 0.05
 
-#: Seconds between two load reports of an engine, and their delay.
+#: Interval of an engine's load reports and their delivery delay, in seconds.
 REPORT_EVERY_S = 0.5
 REPORT_DELAY_S = 0.4
 
-#: Seconds between two cache events of an engine, their delay and lost share.
+#: Interval of an engine's cache events and their delivery delay, in seconds, and the
+#: fraction of them that is lost.
 EVENT_EVERY_S = 0.5
 EVENT_DELAY_S = 1.0
 EVENT_LOST_SHARE = 0.05
@@ -38,7 +39,7 @@
 
 @frozen
 class Run:
-    """What is measured; times are in seconds."""
+    """Parameters of one run; ``until`` is its length in seconds."""
 
     shape: Shape
     case: Case
@@ -49,19 +50,19 @@
 
 @define(eq=False)
 class Attempt:
-    """A request on its way."""
+    """A request and its current dispatch to a target."""
 
     request: Request
     router: Router
-    tried: frozenset[str] = frozenset()
+    tried_targets: frozenset[str] = frozenset()
     choice: Choice | None = None
     dispatch: Dispatch | None = None
     job: Job | None = None
-    first_at: float | None = field(default=None)
+    first_token_at: float | None = field(default=None)
 
 
 class Simulation:
-    """Drives one run."""
+    """Simulates one run."""
 
     def __init__(self, run: Run) -> None:
         self.run = run
@@ -78,7 +79,7 @@
             engine.seen = seen
         versions = {name: engine.weights for name, engine in self.engines.items()}
         self.view = StandInView(make_fleet(shape, self.engines), versions)
-        self.policy: Policy = policy_named(run.policy, self)
+        self.policy: Policy = make_policy(run.policy, self)
         self.routers = {
             vm.address: Router(vm, self.policy) for vm in self.view.fleet.vms.values()
         }
@@ -88,25 +89,27 @@
         self.figures = Figures(names, overloading)
 
     def execute(self) -> Figures:
-        """Run to the end and return the figures."""
+        """Run all requests to their end and return the figures."""
         until = self.run.until
         workload = Workload(self.run.shape, self.run.case, self.run.seed, until)
         for request in workload.requests():
-            self.loop.after(request.at, lambda request=request: self._arrive(request))
+            self.loop.after(
+                request.at, lambda request=request: self._on_arrival(request)
+            )
         for engine in self.engines.values():
-            self._publish(engine)
+            self._schedule_reports(engine)
         self.limits.start(until)
         schedule(self)
         self.loop.run()
         return self.figures
 
     def restart_routers(self) -> None:
-        """Give every router a new process that has learned nothing."""
+        """Restart all routers, discarding their hints, target health and grants."""
         for router in self.routers.values():
             router.restart(self.policy)
-            self.limits.forget(router)
+            self.limits.reset_router(router)
 
-    def _publish(self, engine: Engine) -> None:
+    def _schedule_reports(self, engine: Engine) -> None:
         until = self.run.until
         offset = self.rng.random() * REPORT_EVERY_S
         self.loop.after(
@@ -144,28 +147,28 @@
                 lambda router=router: router.take_event(self.loop.now, event),
             )
 
-    def _arrive(self, request: Request) -> None:
+    def _on_arrival(self, request: Request) -> None:
         organisation = request.organisation
         domain = self.rng.choice(self.run.shape.failure_domains)
-        found = answer(self.view, organisation, domain, MembershipSettings())
-        router = self.routers[self.rng.choice(found.addresses)]
+        address_answer = answer(self.view, organisation, domain, MembershipSettings())
+        router = self.routers[self.rng.choice(address_answer.addresses)]
         attempt = Attempt(request, router)
         self.limits.admit(
             router,
             request,
             lambda: self._place(attempt),
-            lambda is_inside: self._refused(is_inside),
+            lambda is_within_limit: self._on_refused(is_within_limit),
         )
 
-    def _refused(self, is_inside: bool) -> None:
-        if is_inside:
+    def _on_refused(self, is_within_limit: bool) -> None:
+        if is_within_limit:
             self.figures.gave_up()
         else:
             self.figures.refused()
 
     def _place(self, attempt: Attempt) -> None:
         now, request, router = self.loop.now, attempt.request, attempt.router
-        if attempt.first_at is None and now - request.at > DEADLINE_S:
+        if attempt.first_token_at is None and now - request.at > DEADLINE_S:
             self.figures.gave_up()
             return
         question = Question(
@@ -173,12 +176,12 @@
             request=request,
             failure_domain=router.failure_domain,
             candidates=router.health.candidates(now, self.view, "language"),
-            exclude=attempt.tried,
+            exclude=attempt.tried_targets,
             priority=self._priority(attempt),
         )
         choice = router.choose(question)
         if choice is None:
-            attempt.tried = frozenset()
+            attempt.tried_targets = frozenset()
             self.loop.after(0.1, lambda: self._place(attempt))
             return
         attempt.choice = choice
@@ -189,7 +192,7 @@
         engine = self.engines[attempt.choice.target]
         request = attempt.request
         if attempt.choice.weights != engine.weights:
-            self._failed(attempt)
+            self._on_failed(attempt)
             return
         attempt.job = Job(
             chain=chain_of(request, engine.weights),
@@ -198,9 +201,9 @@
             priority=self._priority(attempt),
             import_from=self.engines.get(attempt.choice.import_from),
             import_pieces=attempt.choice.import_pieces,
-            on_first=lambda job: self._first(attempt, job),
-            on_done=lambda job: self._done(attempt),
-            on_fail=lambda job: self._failed(attempt),
+            on_first=lambda job: self._on_first_token(attempt, job),
+            on_done=lambda job: self._on_done(attempt),
+            on_fail=lambda job: self._on_failed(attempt),
         )
         engine.submit(attempt.job)
 
@@ -209,28 +212,30 @@
             return 0
         return self.limits.priority(attempt.router, attempt.request.organisation)
 
-    def _first(self, attempt: Attempt, job: Job) -> None:
+    def _on_first_token(self, attempt: Attempt, job: Job) -> None:
         now, shape = self.loop.now, self.run.shape
         attempt.router.health.first_token(attempt.dispatch)
         self.figures.computed(job)
-        if attempt.first_at is not None:
+        if attempt.first_token_at is not None:
             return
-        attempt.first_at = now
-        back_s = self._one_way_s(attempt.router, attempt.choice) + 2 * shape.client_s
-        taken_s = now + back_s - attempt.request.at
-        self.figures.first_token(attempt.request.organisation, taken_s, DEADLINE_S)
+        attempt.first_token_at = now
+        return_s = self._one_way_s(attempt.router, attempt.choice) + 2 * shape.client_s
+        ttft_s = now + return_s - attempt.request.at
+        self.figures.first_token(attempt.request.organisation, ttft_s, DEADLINE_S)
 
-    def _done(self, attempt: Attempt) -> None:
+    def _on_done(self, attempt: Attempt) -> None:
         attempt.router.health.finish(self.loop.now, attempt.dispatch, True)
 
-    def _failed(self, attempt: Attempt) -> None:
+    def _on_failed(self, attempt: Attempt) -> None:
         def retry() -> None:
             attempt.router.health.finish(self.loop.now, attempt.dispatch, False)
-            attempt.tried |= {attempt.choice.target}
+            attempt.tried_targets |= {attempt.choice.target}
             self._place(attempt)
 
         self.loop.after(CONNECTION_LOST_S, retry)
 
     def _one_way_s(self, router: Router, choice: Choice) -> float:
         domain = self.engines[choice.target].failure_domain
-        return 0.0002 if domain == router.failure_domain else self.run.shape.far_s
+        return (
+            0.0002 if domain == router.failure_domain else self.run.shape.cross_domain_s
+        )
--- a/benchmarks/slow_callers.py
+++ b/benchmarks/slow_callers.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from benchmarks.process_stat import read_process_stat
-from benchmarks.router_cost import start
+from benchmarks.router_cost import start_deployment
 from benchmarks.stream_check import StreamCheck
 from berylnotch.standins.fleet import LocalFleet
 
@@ -25,10 +25,11 @@
 
 
 def open_stream(address: str, key: str, number: int, tokens: int):
-    """Send a request and return the answer, unread."""
+    """Send a request and return the response, unread."""
     host, _, port = address.rpartition(":")
     sock = socket.socket()
-    # Else the kernel would hold megabytes for a caller that doesn't read.
+    # With the default buffer, the kernel would hold megabytes for a caller that
+    # doesn't read.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
     sock.settimeout(_TIMEOUT_S)
     sock.connect((host, int(port)))
@@ -45,16 +46,16 @@
     return connection.getresponse()
 
 
-def read_all(answer: http.client.HTTPResponse, tokens: int) -> StreamCheck:
-    """Read an answer to its end and check it."""
+def read_all(response: http.client.HTTPResponse, tokens: int) -> StreamCheck:
+    """Read a response to its end and return its check."""
     check = StreamCheck(tokens)
-    while data := answer.read1(_READ_BYTES):
+    while data := response.read1(_READ_BYTES):
         check.feed(data)
     return check
 
 
 def get_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(
         prog="python -m benchmarks.slow_callers",
         description="Measure a router's memory while callers don't read.",
@@ -66,7 +67,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Print memory over time; return 1 if a stream wasn't whole."""
+    """Print the router's memory; return 1 if a stream was incomplete or faulty."""
     args = get_parser().parse_args(argv)
     folder = Path(tempfile.mkdtemp(prefix="berylnotch-slow-"))
     fleet = LocalFleet(folder)
@@ -81,18 +82,20 @@
 
 
 def run(fleet: LocalFleet, args: argparse.Namespace) -> list[StreamCheck]:
-    """Open the streams, leave them unread, then read them."""
-    bench = start(fleet, _ENGINE)
+    """Open streams, stop reading for ``stall_s`` seconds, then read them to the end."""
+    deployment = start_deployment(fleet, _ENGINE)
     pid = fleet.children["r1"].pid
     print(f"before: {read_process_stat(pid).rss_mb:.1f} MB", flush=True)
-    answers = [
-        open_stream(bench.router, bench.keys[n % len(bench.keys)], n, args.tokens)
+    responses = [
+        open_stream(
+            deployment.router, deployment.keys[n % len(deployment.keys)], n, args.tokens
+        )
         for n in range(args.callers)
     ]
     time.sleep(args.stall_s)
     stalled = read_process_stat(pid)
     print(f"stalled: {stalled.rss_mb:.1f} MB, peak {stalled.peak_rss_mb:.1f} MB")
-    checks = [read_all(answer, args.tokens) for answer in answers]
+    checks = [read_all(response, args.tokens) for response in responses]
     after = read_process_stat(pid)
     print(f"after: {after.rss_mb:.1f} MB, peak {after.peak_rss_mb:.1f} MB")
     size_mb = sum(check.events for check in checks) * 280 / 1e6
--- a/benchmarks/stream_check.py
+++ b/benchmarks/stream_check.py
@@ -1,4 +1,4 @@
-"""Check of one stream as its caller sees it, independent of the router's code."""
+"""Check of a stream at its caller, independent of the router's code."""
 
 from __future__ import annotations
 
@@ -10,72 +10,72 @@
 
 @define
 class StreamCheck:
-    """Counts what is wrong with a stream of a stand-in engine.
+    """Counts the faults in a stream of a stand-in engine.
 
     Attributes
     ----------
     tokens : int
-        Tokens that were asked for; one more event tells the end.
+        Requested tokens; one more event reports the end of the generation.
     last : int
-        Highest event number seen.
+        Highest event number received.
     events, duplicated, out_of_order, wrong : int
-        Events seen, repeated numbers, skipped numbers, and events whose text
-        isn't that of their number.
+        Events received, repeated numbers, gaps in the numbers, and events whose
+        text does not match their number.
     ended : bool
-        Whether the end marker was seen.
+        Whether the end marker was received.
     error : str
-        Error event, if there was one.
+        Last error event; empty if there was none.
     """
 
     tokens: int
-    last: int = 0
+    last_number: int = 0
     events: int = 0
     duplicated: int = 0
     out_of_order: int = 0
     wrong: int = 0
-    ended: bool = False
+    has_ended: bool = False
     error: str = ""
-    _tail: bytes = b""
+    _incomplete: bytes = b""
 
     @property
-    def expected(self) -> int:
-        """Events of the whole stream."""
+    def expected_events(self) -> int:
+        """Number of events in a complete stream."""
         return self.tokens + 1
 
     @property
     def lost(self) -> int:
-        """Events that didn't come."""
-        return max(0, self.expected - (self.events - self.duplicated))
+        """Number of events that were not received."""
+        return max(0, self.expected_events - (self.events - self.duplicated))
 
     @property
     def is_whole(self) -> bool:
-        """Whether every event came once, in order, up to the end marker."""
+        """Whether each event arrived once, in order, and the end marker after them."""
         faults = self.duplicated or self.out_of_order or self.wrong or self.lost
-        return self.ended and not faults and not self.error
+        return self.has_ended and not faults and not self.error
 
     def feed(self, data: bytes) -> int:
-        """Take bytes and return how many events they completed."""
-        *events, self._tail = (self._tail + data).split(_BOUNDARY)
+        """Check received bytes and return the number of events that they complete."""
+        *events, self._incomplete = (self._incomplete + data).split(_BOUNDARY)
         before = self.events
         for event in events:
-            self._take(event)
+            self._check_event(event)
         return self.events - before
 
-    def _take(self, event: bytes) -> None:
+    def _check_event(self, event: bytes) -> None:
         if event.endswith(_END):
-            self.ended = True
+            self.has_ended = True
             return
-        head, _, rest = event.partition(b"\n")
-        if not head.startswith(b"id: "):
+        id_line, _, data_lines = event.partition(b"\n")
+        if not id_line.startswith(b"id: "):
             self.error = event.decode("utf-8", "replace")
             return
-        number = int(head[4:].rpartition(b".")[2])
+        number = int(id_line[4:].rpartition(b".")[2])
         self.events += 1
-        if number <= self.last:
+        if number <= self.last_number:
             self.duplicated += 1
             return
-        if number != self.last + 1:
+        if number != self.last_number + 1:
             self.out_of_order += 1
-        self.last = number
-        if number <= self.tokens and b'-%d "' % number not in rest:
+        self.last_number = number
+        if number <= self.tokens and b'-%d "' % number not in data_lines:
             self.wrong += 1
--- a/tests/test_benchmarks/test_stream_check.py
+++ b/tests/test_benchmarks/test_stream_check.py
@@ -24,10 +24,10 @@
         (event(1) + event(2) + event(3) + b'data: {"error": {}}\n\n' + END, "error"),
     ],
 )
-def test_every_fault_is_seen(data, fault):
+def test_each_fault_is_detected(data, fault):
     check = StreamCheck(tokens=2)
-    for at in range(0, len(data), 7):
-        check.feed(data[at : at + 7])
-    assert check.is_whole is (fault is None and check.ended)
+    for offset in range(0, len(data), 7):
+        check.feed(data[offset : offset + 7])
+    assert check.is_whole is (fault is None and check.has_ended)
     if fault is not None:
         assert getattr(check, fault)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -17,9 +17,9 @@
 
 def test_embedding_page():
     page = ROOT / "docs" / "embedding.md"
-    found = doctest.testfile(str(page), module_relative=False)
-    assert found.attempted > 20
-    assert found.failed == 0
+    results = doctest.testfile(str(page), module_relative=False)
+    assert results.attempted > 20
+    assert results.failed == 0
 
 
 def test_limiter_keeps_to_rate_and_burst(capsys):
