--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -61,9 +61,9 @@
 
     Called in a worker process.
     """
-    figures = Simulation(run).execute_run()
+    figures = Simulation(run).execute()
     for seed in range(run.seed + 1, run.seed + seeds):
-        figures.add(Simulation(evolve(run, seed=seed)).execute_run())
+        figures.add(Simulation(evolve(run, seed=seed)).execute())
     return figures.summary()
 
 
--- a/benchmarks/quota_load.py
+++ b/benchmarks/quota_load.py
@@ -41,8 +41,8 @@
     """Size of the load.
 
     ``prompt`` and ``output`` are tokens of one request; ``utilisation`` is the fraction
-    of their rate that organisations use, and ``burst_s`` is the burst
-    in seconds of the rate.
+    of their rate that organisations use, and ``burst_s`` is the burst in seconds of the
+    rate.
     """
 
     routers: int
--- a/benchmarks/shapes.py
+++ b/benchmarks/shapes.py
@@ -24,7 +24,7 @@
 
     Times are in seconds, rates in tokens a second, memory in pieces of
     ``piece_tokens``. Prompts are prefilled in chunks of ``chunk_pieces``; after each
-    chunk, the prompt with the highest priority continues.
+    chunk, the prompt with the highest priority is computed next.
     """
 
     prefill_tokens_per_s: float = 16_000.0
