--- a/berylnotch/entry/__init__.py
+++ b/berylnotch/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Request path of a router: target selection, attempts and responses."""
+"""Provides the request path of a router, from target selection to the response."""
--- a/berylnotch/entry/admission.py
+++ b/berylnotch/entry/admission.py
@@ -1,10 +1,11 @@
 """Admission control for streams, based on the delay expected at the best target.
 
-It guards against overload while a few engines carry the traffic of many, for example
-while the other engines load weights, are lost, or restart with an empty prefix cache.
-Without admission control, prompts queue until callers time out, and every prompt that
-is processed for an absent caller delays the next one. A request whose first event
-cannot arrive in time is refused at once, with the promise that it has not run.
+It guards against overload while few engines serve the traffic of the whole fleet, for
+example while the other engines load weights, are lost, or restart with an empty prefix
+cache. Without admission control, prompts queue until callers time out, and every prompt
+that is processed for a disconnected caller delays the next prompt. A request whose
+first event cannot arrive in time is refused at once, and the caller learns that the
+request has not run.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 
 #: Longest admitted delay until the first event, as a multiple of the target latency.
 #: Callers abandon a stream at four times the target latency; the margin covers
-#: estimates that are too low.
+#: delay estimates that are too low.
 MAX_DELAY_FACTOR = 2.6
 
-#: Fraction of an engine's slots from which the engine counts as busy. An engine that
-#: is neither busy nor has a prompt queue refuses no request.
+#: Fraction of an engine's slots from which the engine counts as busy. No request
+#: is refused while its best engine is not busy and has no prompt queue.
 BUSY_SLOT_FRACTION = 0.5
 
 #: Unprocessed prompt tokens from which an engine counts as having a prompt queue.
 MIN_QUEUE_TOKENS = 8 * 1024
 
-#: Bounds of the retry delay that a refused caller is given, in seconds.
+#: Bounds, in seconds, of the retry delay that is sent to a refused caller.
 MIN_RETRY_S = 0.2
 MAX_RETRY_S = 3.0
 
--- a/berylnotch/entry/announcements.py
+++ b/berylnotch/entry/announcements.py
@@ -1,4 +1,4 @@
-"""Handles headers by which targets announce that they leave or are overloaded."""
+"""Handles headers in which targets announce that they leave or are overloaded."""
 
 from __future__ import annotations
 
@@ -9,9 +9,11 @@
 from berylnotch.platform.requests import AnswerHead
 from berylnotch.util.clock import boot_time
 
-#: Longest back-off in seconds that a target may request, and the largest fraction by
-#: which routers extend it at random, so that they do not all retry at the same moment.
+#: Longest back-off, in seconds, that a target may request.
 MAX_BACK_OFF_S = 300.0
+
+#: Largest fraction by which a router extends a back-off at random, so that the routers
+#: do not all retry at the same moment.
 BACK_OFF_SPREAD = 0.1
 
 
@@ -20,7 +22,7 @@
 ) -> None:
     """Apply what a target announces about itself in the headers of an answer.
 
-    The announcements count even if the answer belongs to another request.
+    The announcements are applied even if the answer belongs to another request.
 
     Parameters
     ----------
@@ -45,8 +47,8 @@
         )
     if answer.retry_after_s is not None:
         pause_s = min(MAX_BACK_OFF_S, answer.retry_after_s)
-        spread = random.uniform(1, 1 + BACK_OFF_SPREAD)
-        target.back_off(boot_time(), pause_s * spread)
+        spread_factor = random.uniform(1, 1 + BACK_OFF_SPREAD)
+        target.back_off(boot_time(), pause_s * spread_factor)
         context.metrics.count("berylnotch_targets_back_off_total")
         context.log.info(
             "target_backs_off",
--- a/berylnotch/entry/candidates.py
+++ b/berylnotch/entry/candidates.py
@@ -2,7 +2,7 @@
 
 In a fleet with hundreds of engines and routers, each choice compares only a few
 engines. If every router compared all engines, all of them would choose the same best
-engine at the same moment, and each comparison would take long.
+engine at the same moment, and each choice would take long.
 
 The home of a prompt is the engine that every router computes by consistent hashing of
 the prompt's path.
@@ -21,15 +21,16 @@
 MAX_HOLDERS = 12
 
 #: Maximum number of engines that are examined along the consistent-hash ring, from the
-#: position of a prompt, to find its home or an engine to copy it from.
+#: position of a prompt, to find the prompt's home or an engine to copy the prompt from.
 MAX_RING_STEPS = 64
 
 #: Seconds after a weight load during which an engine's cache holds few of the prompts
 #: that are in use.
 RECENT_LOAD_S = 2.0
 
-#: Random draws for each target of a sample before all targets are examined. If half of
-#: the targets are usable, one sample in a thousand is still incomplete after them.
+#: Maximum number of random draws for each target of a sample. If half of the targets
+#: are usable, one sample in a thousand is incomplete after these draws, and all targets
+#: are examined instead.
 DRAWS_PER_SAMPLED_TARGET = 6
 
 
@@ -38,9 +39,9 @@
 ) -> tuple[Target | None, list[Target]]:
     """Return the home of a long prompt and the targets to compare for it.
 
-    In a fleet with many routers, these are a sample that the prompt's hash determines,
-    the engines that hold a part of the prompt, and a random sample. An engine of the
-    random sample copies the prompt while the other candidates are busy.
+    In a fleet with many routers, the targets to compare are a sample that the prompt's
+    hash determines, the engines that hold a part of the prompt, and a random sample. An
+    engine of the random sample copies the prompt while the other candidates are busy.
 
     Returns
     -------
@@ -98,15 +99,16 @@
 def ring_copy_source(
     targets: Collection[Target], inputs: ChoiceInputs, receiver: Target
 ) -> Target | None:
-    """Return the engine from which a receiver copies a prompt, None if there is none.
+    """Return the engine from which a receiver copies a prompt, None if no engine can.
 
-    It is the engine with the same weights that follows the prompt's position on the
-    consistent-hash ring. If the receiver is the home, this is the previous home, if
-    there was one. An engine that has just loaded its weights holds few prompts, so it
-    is returned only if there is no other.
+    The source is the first other engine with the same weights after the prompt's
+    position on the consistent-hash ring. If the receiver is the home of the prompt, the
+    source is usually the engine that was the home before. An engine that has just
+    loaded its weights holds few prompts, so it is returned only if no other engine is
+    available.
     """
     version = receiver.version(inputs.model)
-    recently_loaded = None
+    recently_loaded_target = None
     for target in _ring_order(targets, inputs):
         if target is receiver or target.version(inputs.model) != version:
             continue
@@ -115,8 +117,8 @@
             continue
         if inputs.now - target.weights_at > RECENT_LOAD_S:
             return target
-        recently_loaded = recently_loaded or target
-    return recently_loaded
+        recently_loaded_target = recently_loaded_target or target
+    return recently_loaded_target
 
 
 def _ring_order(targets: Collection[Target], inputs: ChoiceInputs) -> Iterable[Target]:
@@ -128,7 +130,7 @@
 
 
 def usable_targets(targets: Collection[Target], inputs: ChoiceInputs) -> list[Target]:
-    """Return the targets that can serve a request; fallbacks only without others."""
+    """Return the targets that can serve a request, or fallbacks if there are no others."""
     usable = [t for t in targets if _can_serve(t, inputs)]
     return [t for t in usable if not _is_fallback(t, inputs)] or usable
 
@@ -150,7 +152,7 @@
 
 
 def sampled_targets(targets: Collection[Target], inputs: ChoiceInputs) -> list[Target]:
-    """Return the usable targets, or a random sample of them if a sample is requested.
+    """Return the usable targets, or a random sample of them if the inputs set its size.
 
     Most targets are usable, so a few draws usually complete the sample without a scan
     of all targets.
--- a/berylnotch/entry/choice.py
+++ b/berylnotch/entry/choice.py
@@ -1,7 +1,7 @@
-"""Choice of the target for a request by expected delay and prefix-cache hits.
+"""Chooses the target for a request by expected delay and prefix-cache hits.
 
-The load consists of long prompts, which share prefixes like the branches of a tree,
-and many short prompts. An engine processes one prompt after the other, so a long
+The traffic consists of long prompts, whose shared prefixes form a tree, and of many
+short prompts. An engine processes one prompt after the other, so a long
 prompt with a small cache hit delays all prompts behind it, and the memory of an engine
 holds only a few long prompts.
 
@@ -32,33 +32,34 @@
 from berylnotch.entry.targets import Target
 from berylnotch.placement.mixing import rendezvous_weight
 
-#: Cost of a copy in addition to its transfer, in ms for 1,000 tokens: the copy evicts
-#: another prompt.
+#: Cost of a copied prefix in addition to its transfer, in ms for 1,000 tokens, because
+#: the copy evicts another prompt from the cache.
 COPY_COST_MS_PER_1K = 6.0
 
 #: Cost, in ms for 1,000 tokens, of processing a shared prefix that another engine has
-#: processed or is processing: it takes the time of as many tokens of other prompts.
+#: processed or is processing. Meanwhile, other prompts with as many tokens are delayed.
 REPROCESSING_COST_MS_PER_1K = 240.0
 
 #: Cost reduction, in ms, for the home of a prompt while the home still has to process
 #: shared tokens of the prompt.
 HOME_BONUS_MS = 80.0
 
-#: Number of shared tokens from which a short prompt has a home too.
+#: Minimum number of shared tokens with which a short prompt has a home.
 MIN_AFFINITY_TOKENS = 128
 
 #: Cost, in ms for 1,000 tokens, of processing the shared prefix of a short prompt at an
-#: engine other than its home: if the home has not processed the prefix yet, it
-#: processes it again later.
+#: engine other than the prompt's home. If the home has not processed the prefix yet, the
+#: prefix is processed a second time later.
 OFF_HOME_COST_MS_PER_1K = 120.0
 
 
 def choose(targets: Collection[Target], inputs: ChoiceInputs) -> Choice | None:
     """Return the target with the lowest expected cost, None if no target is usable.
 
-    A long prompt that no engine holds goes to its home, so that it is processed once.
-    Later requests go to the engine that holds the longest prefix of the prompt. As the
-    prompt queue of that engine grows, they go to other engines, which copy the prefix.
+    A long prompt that no engine holds goes to its home, so that the prompt is processed
+    once. Later requests go to the engine that holds the longest prefix of the prompt.
+    When the prompt queue of that engine grows, requests go to other engines, and these
+    copy the prefix.
     """
     if not inputs.chain.has_affinity:
         return _choose_for_short_prompt(targets, inputs)
@@ -87,9 +88,9 @@
     """Return the best target for a request without a long shared prefix, or None.
 
     The home of a short prompt is computed from its shared parts among the engines with
-    the same weights. Other engines try to copy the shared parts from the home, whether
-    it holds them or not: a failed attempt costs less than processing the parts, and
-    routers need not exchange notes about short prompts.
+    the same weights. Other engines try to copy the shared parts from the home, even if
+    the home may not hold them. A failed attempt costs less than processing the parts,
+    and routers need not exchange notes about short prompts.
     """
     usable = sampled_targets(targets, inputs)
     homes: dict[int | None, Target] = {}
@@ -130,11 +131,11 @@
     targets: Iterable[Target], inputs: ChoiceInputs
 ) -> float | None:
     """Return the seconds until a target may be usable, None if there is no target."""
-    times = [
+    usable_times = [
         target.usable_at(inputs.now)
         for target in targets
         if not target.is_leaving and target.target_id not in inputs.excluded
     ]
-    if not times:
+    if not usable_times:
         return None
-    return max(0.0, min(times) - inputs.now)
+    return max(0.0, min(usable_times) - inputs.now)
--- a/berylnotch/entry/choice_inputs.py
+++ b/berylnotch/entry/choice_inputs.py
@@ -1,4 +1,4 @@
-"""Inputs to the choice of a target, and headers that the chosen target receives."""
+"""Builds the inputs to the choice of a target and the headers for the chosen target."""
 
 from __future__ import annotations
 
@@ -126,7 +126,7 @@
         Number of the last event of the stream that this router sent to the caller.
     run_origin : str, default=""
         Location of the KV cache from which a stopped run resumes, empty if the
-        request does not resume one.
+        request does not resume a stopped run.
     """
     target = choice.target
     fetch_from = save_to = ""
@@ -137,7 +137,7 @@
         if store and inputs.stored_levels(target) < len(inputs.chain.levels):
             save_to = store
     elif choice.source is not None and not run_origin:
-        # Asking an engine that lacks the prompt costs about 1 ms too.
+        # Asking an engine that lacks the prompt also costs about 1 ms.
         fetch_from = choice.source.listed.address
     is_first = last_event is None
     return TargetHeaders(
@@ -155,7 +155,7 @@
 
 
 def select_store(context: EntryContext, service: Service, store_key: str) -> str:
-    """Return the address of the store that keeps a prompt, empty if there is none.
+    """Return the address of the store that keeps a prompt, empty if none is reachable.
 
     All routers select the same store for a key by rendezvous hashing, so that each
     prompt is stored once.
@@ -170,7 +170,7 @@
 
 
 def cache_salt(routed: RoutedRequest, target: Target, model: str) -> str:
-    """Return the salt that separates cache entries that must not be shared.
+    """Return the cache salt, which keeps apart entries that must not be shared.
 
     Entries of different weights versions are always separate, and so are those of
     isolated organisations.
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -1,4 +1,4 @@
-"""State that all requests of a router share."""
+"""Provides the state that all requests of a router share."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 from berylnotch.util.loop import Loop
 from berylnotch.util.metrics import Metrics
 
-#: Number of routers among which the fleet's retry slack is divided until the number of
-#: routers is known: the number in a medium-sized fleet, because all routers may restart
-#: at the same moment.
+#: Number of routers among which the fleet's retry slack is divided until a leader sends
+#: the actual number. It is the number in a medium-sized fleet, because all routers may
+#: restart at the same moment.
 ASSUMED_ROUTER_COUNT = 24
 
-#: Number of this router's own prompt notes that are remembered: more than a router
-#: writes until the leader sends them back.
+#: Number of this router's own prompt notes that are remembered. It exceeds the number
+#: of notes that a router writes before the leader sends the first of them back.
 MAX_OWN_NOTES = 64
 
 
@@ -80,8 +80,8 @@
     is_roster_known : bool
         Whether a leader has sent the number of routers.
     loaded_targets : set of str
-        Identities of the targets whose loads from other routers or suspect states were
-        set by the newest updates.
+        Identities of the targets for which the newest updates set the load from other
+        routers or the suspect state.
     ask_quota : callable
         Schedules a request for tokens to the quota owner.
     schedule_report : callable
@@ -124,22 +124,22 @@
         return budget
 
     def estimator(self, service: str) -> PrefillEstimator:
-        """Return the estimator of a service's engines, with their measured times."""
+        """Return the prefill estimator of a service's engines."""
         return self._estimators.setdefault(service, PrefillEstimator())
 
     def costs(self, service: Service) -> EngineCosts:
-        """Return the measured and the configured costs of a service's engines."""
+        """Return the costs of a service's engines, both measured and configured."""
         estimator, engine = self.estimator(service.name), service.engine
         if engine is None:
             return EngineCosts()
         store_mbps = max((s.store_link_mbps for s in self.routes.stores), default=0.0)
-        copy_per_ms = engine.tokens_per_ms(engine.link_mbps)
-        store_per_ms = engine.tokens_per_ms(min(store_mbps, engine.link_mbps))
+        copy_tokens_per_ms = engine.tokens_per_ms(engine.link_mbps)
+        store_tokens_per_ms = engine.tokens_per_ms(min(store_mbps, engine.link_mbps))
         return EngineCosts(
             estimator.token_ms,
             estimator.base_ms,
-            copy_per_ms or DEFAULT_COPY_TOKENS_PER_MS,
-            store_per_ms or DEFAULT_STORE_TOKENS_PER_MS,
+            copy_tokens_per_ms or DEFAULT_COPY_TOKENS_PER_MS,
+            store_tokens_per_ms or DEFAULT_STORE_TOKENS_PER_MS,
         )
 
     def record_target_loss(self, target_id: str, fingerprint: bytes) -> None:
@@ -148,11 +148,11 @@
         verdict = self.crashes.on_target_lost(
             now, target_id, (fingerprint,), self.losses
         )
-        for reported in verdict.reported:
-            self.crash_marks.append(CrashMark(reported, target_id))
-        for blamed in verdict.blamed:
+        for reported_fingerprint in verdict.reported:
+            self.crash_marks.append(CrashMark(reported_fingerprint, target_id))
+        for blamed_fingerprint in verdict.blamed:
             self.log.warning(
-                "request_blamed", fingerprint=blamed.hex(), target=target_id
+                "request_blamed", fingerprint=blamed_fingerprint.hex(), target=target_id
             )
 
     def cache_tokens(self, target: Target) -> int:
@@ -165,7 +165,9 @@
     def budgets_left(self) -> dict[str, float]:
         """Return the number of retries that each service's budget allows now."""
         now = boot_time()
-        return {service: b.balance(now) for service, b in self._budgets.items()}
+        return {
+            service: budget.balance(now) for service, budget in self._budgets.items()
+        }
 
     def resize_budgets(self, router_count: int) -> None:
         """Divide the fleet's retry slack among a number of routers."""
@@ -180,7 +182,8 @@
         if not self.is_roster_known:
             routers = max(routers, ASSUMED_ROUTER_COUNT)
         share = bounds.retry_slack / routers
-        # With a reserve below one retry, the first retry would need many requests.
+        # With a reserve below one retry, the budget would allow the first retry only
+        # after many requests.
         reserve = max(share * fraction, min(1.0, share))
         return RetrySettings(
             max_attempts=self.settings.max_sends,
--- a/berylnotch/entry/crash_trail.py
+++ b/berylnotch/entry/crash_trail.py
@@ -1,4 +1,4 @@
-"""Reports of one request's attempts to the crash guard."""
+"""Reports the attempts of one request to the crash guard."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class CrashTracker:
-    """Tells the crash guard which target runs a request and how the attempts end.
+    """Reports to the crash guard which target runs a request and how attempts end.
 
-    The crash guard refuses requests that crash the targets that run them.
+    The crash guard refuses a request after it has crashed several targets.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
 
     @property
     def target_id(self) -> str:
-        """Identity of the target that runs the request, empty if none does."""
+        """Identity of the target that runs the request, empty if no target runs it."""
         return self._target_id
 
     @property
--- a/berylnotch/entry/events.py
+++ b/berylnotch/entry/events.py
@@ -1,4 +1,4 @@
-"""Splitter of a server-sent event stream into whole events with unchanged bytes."""
+"""Splits a server-sent event stream into whole events with unchanged bytes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     data : bytes
         Unchanged bytes of the event with its boundary.
     number : int or None
-        Numeric ``id`` field of the event, None if it has none.
+        Numeric ``id`` field of the event, None without such a field.
     """
 
     data: bytes
@@ -37,7 +37,7 @@
 
 
 class EventSplitter:
-    """Splits a stream into events, independent of how the network splits its bytes."""
+    """Splits a stream into events, however the network splits the bytes."""
 
     def __init__(self) -> None:
         self._tail = b""
@@ -49,7 +49,7 @@
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add received bytes, and return the events that they complete."""
-        # The earlier bytes hold no whole boundary, but one may have begun in them.
+        # The bytes of earlier calls hold no whole boundary, but may end with its start.
         search_from = max(0, len(self._tail) - _BOUNDARY_BYTES)
         self._tail += data
         events = []
--- a/berylnotch/entry/exchange.py
+++ b/berylnotch/entry/exchange.py
@@ -1,4 +1,4 @@
-"""Processing of one caller request: rate limit, target choice, attempts, response."""
+"""Processes one request of a caller, from the rate limit to the response."""
 
 from __future__ import annotations
 
@@ -79,19 +79,19 @@
         self._service_name = ""
         self._has_ended = False
         request, caller, route = routed.request, routed.caller, routed.route
-        limit_s = route.timeout_s
+        timeout_s = route.timeout_s
         if caller.deadline_s is not None:
-            limit_s = min(limit_s, caller.deadline_s)
+            timeout_s = min(timeout_s, caller.deadline_s)
         self._started_at = request.received_at
         self._reply = Reply(connection, context.metrics, route.name, self._started_at)
         connection.on_gone = self._on_caller_disconnect
         connection.on_drained = self._on_drained
-        self._deadline = request.received_at + limit_s
+        self._deadline = request.received_at + timeout_s
         self._timer: Timer | None = None
         self._crash_tracker = CrashTracker(context, routed)
         self._relocation = Relocation(context, routed)
 
-    # Values for log lines and limits.
+    # Values for log entries and time limits.
 
     @property
     def _request_id(self) -> str:
@@ -105,7 +105,7 @@
         """Charge the request to its organisation's rate limit, and then send it."""
         grace_s = self._context.settings.deadline_grace_s
         self._timer = self._context.loop.call_later(
-            max(0.0, self._remaining_s) + grace_s, self._expire
+            max(0.0, self._remaining_s) + grace_s, self._end_without_response
         )
         organisation = self._routed.organisation
         if not is_limited(organisation):
@@ -119,7 +119,7 @@
 
     def stop(self) -> None:
         """Answer the request at once, because the process is stopping."""
-        self._expire(Reason.STOPPING, "the router is stopping")
+        self._end_without_response(Reason.STOPPING, "the router is stopping")
 
     def _on_charge(self, outcome: Charge, retry_s: float) -> None:
         if self._has_ended:
@@ -216,11 +216,11 @@
     # Callbacks of the attempt.
 
     def on_stream_begin(self, status: int, headers: object) -> None:
-        """Send the head of a stream, unless the caller already has one."""
+        """Send the head of a stream, unless the caller has already received a head."""
         self._reply.begin_stream(status, headers)
 
     def on_event(self, data: bytes, number: int | None) -> None:
-        """Send an event to the caller, unless the caller already has it."""
+        """Send an event to the caller, unless the caller has already received it."""
         self._reply.send_event(data, number)
         if self._reply.is_congested and self._attempt is not None:
             self._attempt.pause()
@@ -233,14 +233,14 @@
         return has_attempts and has_budget and has_time and self._has_other_target()
 
     def choose_destination(self, full_engines: Collection[str]) -> Target | None:
-        """Return the engine that the run should migrate to, None if it stays."""
+        """Return the engine to which the run should migrate, None if the run stays."""
         if self._reply.last_event is None or self._remaining_s < MIN_REST_S:
             return None
         source = self._context.targets.get(self._crash_tracker.target_id)
         excluded = {*self._tried_targets, *full_engines}
         return self._relocation.choose_destination(self._service_name, source, excluded)
 
-    def _continue_run(self, moved: StoppedRun, target: Target) -> None:
+    def _continue_run(self, stopped_run: StoppedRun, target: Target) -> None:
         """Send the rest of a stopped run to the engine that has its KV cache."""
         service = self._context.routes.service(self._service_name)
         if service is None or self._remaining_s <= 0:
@@ -249,20 +249,22 @@
                 502, reason, "the run was stopped for a migration and cannot continue"
             )
             return
-        self._relocation.begin(moved)
+        self._relocation.begin(stopped_run)
         inputs = make_choice_inputs(
             self._context, self._routed, service, self._tried_targets
         )
         self._send_to(service, inputs, Choice(target, 0.0))
 
-    def _on_takeover_refused(self, moved: StoppedRun, result: AttemptResult) -> None:
+    def _on_takeover_refused(
+        self, stopped_run: StoppedRun, result: AttemptResult
+    ) -> None:
         """Resume a run at its source after a refused takeover, or retry the request."""
         refusing_target = result.target
         if self._relocation.can_resume_at_source(
-            moved, self._service_name, refusing_target
+            stopped_run, self._service_name, refusing_target
         ):
             self._record_retry(result, f"takeover of the run failed: {result.reason}")
-            self._continue_run(moved, moved.source)
+            self._continue_run(stopped_run, stopped_run.source)
             return
         self._progress.runs += 1
         self._retry(result, is_run=True)
@@ -271,7 +273,7 @@
         """Complete, continue or retry the request after the end of an attempt."""
         target = result.target
         self._attempt = None
-        moved = self._relocation.end()
+        stopped_run = self._relocation.end()
         if self._has_ended:
             return
         if result.is_lost:
@@ -282,8 +284,8 @@
             self._continue_run(result.moved, result.moved.destination)
             return
         is_not_run = result.end in (AttemptEnd.NOT_RUN, AttemptEnd.NOT_REACHED)
-        if is_not_run and moved is not None:
-            self._on_takeover_refused(moved, result)
+        if is_not_run and stopped_run is not None:
+            self._on_takeover_refused(stopped_run, result)
             return
         if not is_not_run:
             self._progress.runs += 1
@@ -332,8 +334,8 @@
         route, progress = self._routed.route, self._progress
         reason = result.reason
         if is_run:
-            allowed = route.is_repeatable and progress.runs < route.max_attempts
-            if not allowed:
+            may_repeat = route.is_repeatable and progress.runs < route.max_attempts
+            if not may_repeat:
                 self._fail_run(reason, result)
                 return
         if progress.sends >= self._context.settings.max_sends:
@@ -361,7 +363,7 @@
     ) -> None:
         """End a request that cannot be sent any more.
 
-        A request that no target ran is refused, any other one fails.
+        A request that no target ran is refused, and any other request fails.
         """
         if self._progress.runs or self._reply.has_head:
             self._fail(502, reason, detail)
@@ -404,7 +406,7 @@
         outcome = "refused" if status in (429, 503) else "failed"
         self._finish(outcome, status, None, f"{reason.value}: {detail}")
 
-    def _expire(
+    def _end_without_response(
         self,
         reason: Reason = Reason.DEADLINE,
         detail: str = "no response before the deadline",
--- a/berylnotch/entry/failover.py
+++ b/berylnotch/entry/failover.py
@@ -1,4 +1,4 @@
-"""Time limits for the answer of one target to a repeatable request."""
+"""Computes when a repeatable request goes to another target for lack of an answer."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 #: counts as slow and not yet as stalled.
 STALL_FACTOR = 3.0
 
-#: Multiple of the delay that was expected when the target was chosen, and seconds added
-#: to it, within which a target counts as busy and not as stuck.
+#: Multiple of the delay that was expected when the target was chosen. The target counts
+#: as busy, not as stuck, until this multiple and the margin in seconds have passed.
 EXPECTED_DELAY_FACTOR = 2.0
 EXPECTED_DELAY_MARGIN_S = 1.0
 
@@ -50,13 +50,13 @@
     if pending.last_event_at:
         stall_s = max(settings.stall_s, STALL_FACTOR * route.max_gap_s)
         return pending.last_event_at + stall_s
-    overdue = pending.sent_at + settings.slow_factor * route.target_latency_s
+    due_at = pending.sent_at + settings.slow_factor * route.target_latency_s
     if pending.is_stream and not pending.has_head:
         # An engine that answers other requests or has a long prompt queue is busy, not
         # lost.
         expected_s = (
             EXPECTED_DELAY_FACTOR * pending.expected_s + EXPECTED_DELAY_MARGIN_S
         )
-        live_until = pending.target_heard_at + settings.stall_s
-        overdue = max(overdue, pending.sent_at + expected_s, live_until)
-    return overdue
+        presumed_live_until = pending.target_heard_at + settings.stall_s
+        due_at = max(due_at, pending.sent_at + expected_s, presumed_live_until)
+    return due_at
--- a/berylnotch/entry/judging.py
+++ b/berylnotch/entry/judging.py
@@ -8,13 +8,13 @@
 
 
 def is_encoded(head: ResponseHead) -> bool:
-    """Tell whether the body has a content encoding that no caller asked for."""
+    """Tell whether the body has a content encoding that was not requested."""
     encoding = head.headers.get("Content-Encoding").lower()
     return head.status < 300 and encoding not in ("", "identity")
 
 
 def forwarded_headers(head: ResponseHead) -> Headers:
-    """Return the headers for the caller, without the length, which is set anew."""
+    """Return the headers for the caller, without the length, which is recomputed."""
     return head.headers.end_to_end().without(("content-length",))
 
 
@@ -24,7 +24,7 @@
     stream_tail: bytes | None,
     may_have_stopped: bool,
 ) -> str:
-    """Return why a target's response is incomplete or unusable, empty if it is not.
+    """Return why a response is incomplete or unusable, empty if it is valid.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
     if is_encoded(head):
         return "response has a content encoding that was not requested"
     if stream_tail is not None and not head.is_delimited:
-        # The closed connection means either the end of the stream or its loss.
+        # The target closes its connection at the end of a stream and also if it fails.
         if stream_tail:
             return "stream ended within an event"
         if may_have_stopped:
--- a/berylnotch/entry/model.py
+++ b/berylnotch/entry/model.py
@@ -1,4 +1,4 @@
-"""Inputs and result of the choice of a target."""
+"""Provides the classes for the inputs and the result of the choice of a target."""
 
 from __future__ import annotations
 
@@ -25,15 +25,16 @@
     wanted_version : int
         Newest named version of the model's weights.
     outdated_s : callable
-        Returns the seconds for which a newer version than the given one has existed.
+        Returns the seconds since a version newer than its argument was named.
     fresh_s : float
-        Longest time since a newer version exists, in seconds, for which older weights
-        have no extra cost.
+        Longest time, in seconds, after a newer version was named during which older
+        weights have no extra cost.
     stale_s : float
-        Time since a newer version exists, in seconds, from which no request may begin
-        on the older weights.
+        Time, in seconds, after a newer version was named from which no request may
+        begin on older weights.
     target_latency_s : float
-        Time within which the first event should arrive, in seconds; 0 for no target.
+        Time within which the first event should arrive, in seconds; 0 if the route
+        has no target latency.
     chain : PrefixChain
         Shared prefixes of the prompt.
     prompt_tokens : int
@@ -48,21 +49,22 @@
     excluded : collection of str
         Identities of the targets that must not be chosen.
     sample : int
-        Number of targets to compare, 0 for all. Many routers whose information about
-        each other is some tenths of a second old would all choose the same best
-        target at the same time if each compared all targets.
+        Number of targets to compare, 0 for all. Load reports from other routers are
+        some tenths of a second old. If each of many routers compared all targets, all
+        of them would choose the same best target at the same time.
     draw : callable
         Returns a random integer from 0 up to, but not including, its argument.
     cached_levels : callable
         Returns the levels of the chain that a target probably holds.
     holders : callable
-        Returns the targets that probably hold or are processing a level.
+        Returns the targets that probably hold or are processing a level of the chain.
     stored_levels : callable
         Returns the number of levels that a store probably holds for the weights of a
         target.
     ring_walk : callable or None
-        Returns the targets in the order of a key on the consistent-hash ring, which is
-        the same at all routers. With None the hashes of the targets are compared.
+        Returns the targets in their order on the consistent-hash ring from the position of
+        a key. The order is the same at all routers. With None the hashes of the targets
+        are compared.
     weights_samples : callable
         Returns one target for each set of weights that is in use.
     costs : EngineCosts
@@ -105,7 +107,7 @@
         target, has responded.
     queue_ms : float
         Time, in ms, that the target needs for the prompts queued there, if no urgent
-        request overtakes them. The request waits for a fraction of it.
+        request overtakes them. The request waits for a fraction of this time.
     drawback_ms : float
         Disadvantages of the target other than the delay, expressed in ms.
     source : Target or None
--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -1,4 +1,4 @@
-"""Expected delay and additional costs of a target for a request, in ms."""
+"""Computes the expected delay and the additional costs of a target, in ms."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from berylnotch.entry.targets import Target
 from berylnotch.placement.cache_model import CachedLevels
 
-#: Cost of each request in flight at an engine, in ms: the time by which it lengthens
-#: the steps of the other requests.
+#: Cost of each request in flight at an engine, in ms. It is the time by which such a
+#: request lengthens the steps of the others.
 REQUEST_IN_FLIGHT_MS = 5.0
 
 #: Multiple of the expected delay within which an engine certainly begins a request.
@@ -18,8 +18,8 @@
 #: Cost of running on weights older than the newest named version, in ms.
 OUTDATED_WEIGHTS_MS = 400.0
 
-#: Cost of an answer that misses its target latency, in ms: three times that of
-#: outdated weights, because a late answer is worth that much less to the caller.
+#: Cost of an answer that misses its target latency, in ms. It is three times the cost of
+#: outdated weights, because a late answer is less useful to the caller.
 LATE_MS = 1200.0
 
 #: Fraction of the target latency up to which an expected delay has no risk of being
@@ -36,8 +36,8 @@
 #: corresponding fraction.
 FULL_FAILURE_RATE_MS = 400.0
 
-#: Cost of each request beyond the slots of a plain target, in ms, since it waits for a
-#: free slot.
+#: Cost, in ms, of each request beyond the slots of a plain target, because such a
+#: request waits for a free slot.
 QUEUED_MS = 60.0
 
 
@@ -56,17 +56,18 @@
         self._inputs = inputs
         self._chain = inputs.chain
         self._cached_levels = {t.target_id: inputs.cached_levels(t) for t in targets}
-        #: Tokens that are not shared, so that any engine has to read them.
+        #: Number of tokens that are not shared. Every engine has to process them.
         self.own_tokens = max(0, inputs.prompt_tokens - self._chain.shared_tokens)
-        #: Largest number of levels that an engine holds or reads, by weights version.
+        #: Largest number of levels that an engine holds or is processing, by weights
+        #: version.
         self._known_levels: dict[int | None, int] = {}
-        #: Engine that has read the most levels, by weights version.
+        #: Engine that has processed the most levels, by weights version.
         self._sources: dict[int | None, Target] = {}
         for target in targets:
             self._add(target)
 
     def cached_levels(self, target: Target) -> CachedLevels:
-        """Return the levels that a target holds."""
+        """Return the levels that a target probably holds."""
         return self._cached_levels[target.target_id]
 
     def known_tokens(self, target: Target) -> int:
@@ -99,10 +100,10 @@
 
 
 def _is_better_source(cached: CachedLevels, other: CachedLevels) -> bool:
-    """Return whether an engine holds more levels, or as many that were used later.
+    """Return whether an engine has more levels, or as many that were used later.
 
-    Engines reuse the memory of the least recently used prompts first, so recently used
-    levels are less likely to have been evicted.
+    Engines evict the least recently used prompts first, so recently used levels are
+    more likely to be still in the cache.
     """
     return (cached.ready, cached.used_at) > (other.ready, other.used_at)
 
@@ -114,8 +115,8 @@
     chain, costs = inputs.chain, inputs.costs
     held = chain.total(holdings.cached_levels(target).ready_or_pending)
     own_tokens = holdings.own_tokens
-    # The unread tokens of levels that the target is still reading are counted in its
-    # queue already.
+    # Tokens of levels that the target is still processing already count in its prompt
+    # queue.
     delay = costs.prefill_ms(own_tokens, target.load)
     if held >= chain.shared_tokens:
         return make_choice(target, inputs, delay, uncached_tokens=own_tokens)
@@ -145,7 +146,7 @@
 
 
 def begins_in_time(choice: Choice, inputs: ChoiceInputs) -> bool:
-    """Return whether an engine begins before its weights are too old to be used."""
+    """Return whether an engine begins a request before its weights become too old."""
     if not inputs.model:
         return True
     outdated_s = inputs.outdated_s(choice.target.version(inputs.model) or 0)
@@ -169,7 +170,7 @@
     inputs : ChoiceInputs
         Inputs to the choice.
     prompt_ms : float
-        Time for the request's own prompt, without the queue before it.
+        Time, in ms, to process the request's own prompt, without the prompt queue.
     **changes
         Further fields of the choice.
     """
@@ -183,7 +184,7 @@
 
 
 def _drawback_ms(target: Target, inputs: ChoiceInputs) -> float:
-    """Return the cost of a target beside its expected delay, in ms."""
+    """Return the cost of a target in addition to its expected delay, in ms."""
     cost = FAILURE_MS * target.ejection.failures
     cost += (
         FULL_FAILURE_RATE_MS * target.failure_rate + REQUEST_IN_FLIGHT_MS * target.load
--- a/berylnotch/entry/quota_gate.py
+++ b/berylnotch/entry/quota_gate.py
@@ -20,7 +20,7 @@
     UNKNOWN = "limit-unknown"
 
 
-#: Called with the outcome, and with the seconds after which the caller may retry.
+#: Called with the outcome and with the retry delay of the caller in seconds.
 OnCharged = Callable[[Charge, float], None]
 
 
@@ -34,7 +34,7 @@
 
 
 class QuotaGate:
-    """Charges requests against the tokens that the quota owner granted this router.
+    """Charges requests to the tokens that the quota owner granted to this router.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         Returns
         -------
         bool
-            Whether the owner should be asked for tokens soon.
+            Whether the quota owner should be asked for tokens soon.
         """
         queue = self._pending.get(organisation)
         if not queue and self._quota.charge(now, organisation, tokens):
@@ -78,14 +78,14 @@
         return True
 
     def receive(self, now: float, sent_at: float, reply: GrantReply) -> None:
-        """Apply the owner's reply and charge the requests that wait for it."""
+        """Apply a reply of the quota owner, and charge the requests that wait for it."""
         if self._quota.receive(sent_at, reply):
             self.serve(now)
 
     def request(
         self, now: float, name: str, incarnation: str, address: str, domain: str
     ) -> GrantRequest:
-        """Return the next request to the owner."""
+        """Return the next request for tokens to the quota owner."""
         asks = self._quota.asks(now)
         return GrantRequest(
             name, incarnation, address, domain, False, self._quota.sequence, asks
--- a/berylnotch/entry/reading.py
+++ b/berylnotch/entry/reading.py
@@ -1,4 +1,4 @@
-"""Tracking of a request's prompt while an engine reads it."""
+"""Tracks the prompt of a request while an engine processes it."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class PromptReading:
-    """Reading of one request's prompt at one target.
+    """Tracks the processing of one request's prompt at one target.
 
-    It counts the prompt's unread tokens at the target, notes the shared parts that the
-    target will hold, and passes the measured delay to the service's prefill estimator.
+    The tracker adds the prompt's unprocessed tokens to those of the target, notes the
+    shared parts that the target will hold, and passes the measured delay to the
+    service's prefill estimator.
 
     Parameters
     ----------
@@ -43,81 +44,82 @@
         self._caller = routed.caller
         self._routed = routed
         self._target_headers = target_headers
-        self._tokens = self._unread = choice.uncached_tokens
-        #: Prompt tokens that the target had to read before those of this request.
+        self._uncached_tokens = self._unread_tokens = choice.uncached_tokens
+        #: Number of prompt tokens that the target has to process before this prompt.
         self._tokens_ahead = choice.target.total_unread
         self._queue_ms = choice.queue_ms
         self._expected_ms = choice.delay_ms
-        self._is_read = False
+        self._is_processed = False
 
     def begin(self) -> None:
-        """Count the prompt as unread, and note where its parts will be held."""
-        self._target.unread += self._unread
+        """Count the prompt as unprocessed, and note which target will hold its parts."""
+        self._target.unread += self._unread_tokens
         if self._target_headers.run_origin:
             # The KV cache of a resumed run is not reusable for other prompts.
             tokens = self._caller.prompt_tokens
             self._context.prompts.add_unshared_tokens(self._target.target_id, tokens)
             return
         if self._note_prompt(is_ready=False):
-            # Until other routers receive this note, they choose the same engine.
+            # Until other routers receive the notes, their choice does not consider them.
             self._context.schedule_report()
 
     def done(self, sent_at: float) -> None:
-        """Record that the target has read the prompt; later calls do nothing.
+        """Record that the target has processed the prompt; later calls have no effect.
 
         Parameters
         ----------
         sent_at : float
             Boot time at which the request was sent.
         """
-        if self._is_read or self._target_headers.run_origin:
+        if self._is_processed or self._target_headers.run_origin:
             return
-        self._is_read = True
-        self._release_unread()
+        self._is_processed = True
+        self._subtract_unread_tokens()
         self._note_prompt(is_ready=True)
-        self._measure(1000 * (boot_time() - sent_at))
+        self._record_delay(1000 * (boot_time() - sent_at))
 
     def close(self) -> None:
-        """End the tracking; a prompt that is still unread counts as not held."""
-        if not self._is_read and not self._target_headers.run_origin:
+        """End the tracking; the target counts as not holding an unprocessed prompt."""
+        if not self._is_processed and not self._target_headers.run_origin:
             for prefix_hash in self._prefix_hashes():
                 self._context.prompts.cancel_prefill(
                     self._target.target_id, prefix_hash
                 )
-        self._release_unread()
+        self._subtract_unread_tokens()
 
-    def _release_unread(self) -> None:
-        self._target.unread -= self._unread
-        self._unread = 0
+    def _subtract_unread_tokens(self) -> None:
+        self._target.unread -= self._unread_tokens
+        self._unread_tokens = 0
 
-    def _measure(self, first_event_ms: float) -> None:
+    def _record_delay(self, first_event_ms: float) -> None:
         estimator = self._context.estimator(self._target.listed.service)
         estimator.record_overshoot(self._expected_ms, first_event_ms)
         routed = self._routed
         estimator.record_queue_wait(
             routed.priority,
             routed.is_urgent,
-            self._tokens,
+            self._uncached_tokens,
             self._queue_ms,
             first_event_ms,
         )
-        if self._tokens_ahead <= self._tokens:
-            estimator.record_prefill(self._tokens + self._tokens_ahead, first_event_ms)
+        if self._tokens_ahead <= self._uncached_tokens:
+            estimator.record_prefill(
+                self._uncached_tokens + self._tokens_ahead, first_event_ms
+            )
 
     def _prefix_hashes(self) -> tuple[int, ...]:
         return self._caller.chain.prefix_hashes(self._target_headers.cache_salt)
 
     def _note_prompt(self, is_ready: bool) -> bool:
-        """Note where the shared parts of the prompt are read and stored.
+        """Note which target and store will hold the shared parts of the prompt.
 
-        The deepest level is noted with every request, because that marks the prompt as
-        recently used in the LRU order. The levels above it are noted only if they are
-        new.
+        The deepest level is noted with every request, because a note marks the prompt as
+        recently used in the LRU order. The other levels are noted only if they are new.
 
         Parameters
         ----------
         is_ready : bool
-            Whether the target has read the prompt; otherwise it is about to read it.
+            Whether the target has processed the prompt, False before it does so.
 
         Returns
         -------
@@ -126,23 +128,26 @@
         """
         caller, prompts, now = self._caller, self._context.prompts, boot_time()
         chain, holder = caller.chain, self._target.target_id
-        capacity = self._context.cache_tokens(self._target)
+        capacity_tokens = self._context.cache_tokens(self._target)
         if not chain.has_affinity:
-            if not is_ready and capacity:
+            if not is_ready and capacity_tokens:
                 prompts.add_unshared_tokens(holder, caller.prompt_tokens)
             return False
         own_tokens = (
             0 if is_ready else max(0, caller.prompt_tokens - chain.shared_tokens)
         )
-        known = (Holding.READY, Holding.READY if is_ready else Holding.PENDING)
+        noted_states = (Holding.READY, Holding.READY if is_ready else Holding.PENDING)
         for level, prefix_hash in zip(chain.levels, self._prefix_hashes(), strict=True):
             is_deepest = level is chain.levels[-1]
-            if not is_deepest and prompts.holding(now, holder, prefix_hash) in known:
+            if (
+                not is_deepest
+                and prompts.holding(now, holder, prefix_hash) in noted_states
+            ):
                 continue
             note = PromptNote(prefix_hash, level.tokens, holder, is_ready=is_ready)
             if is_deepest:
-                note = evolve(note, own_tokens=own_tokens, unread=self._unread)
-            prompts.record_prefill(now, note, capacity)
+                note = evolve(note, own_tokens=own_tokens, unread=self._unread_tokens)
+            prompts.record_prefill(now, note, capacity_tokens)
             if is_ready and self._target_headers.save_to:
                 prompts.record_store_transfer(
                     now,
--- a/berylnotch/entry/records.py
+++ b/berylnotch/entry/records.py
@@ -1,4 +1,4 @@
-"""Log entries and metrics for the sends and the end of a request."""
+"""Writes log entries and counts metrics for the sends and the end of a request."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @define
 class Progress:
-    """Counts of a request's attempts so far.
+    """Counts the attempts of a request.
 
     Parameters
     ----------
     sends : int, default=0
-        Times that the request was sent to a target.
+        Number of times that the request was sent to a target.
     runs : int, default=0
-        Number of these targets that may have run the request.
+        Number of the sends after which the target may have run the request.
     moves : int, default=0
-        Times that its run was stopped in order to resume from its KV cache.
+        Number of times that the run was stopped in order to resume from its KV cache.
     """
 
     sends: int = 0
@@ -43,12 +43,13 @@
     status : int
         HTTP status that the caller received, 0 if it received none.
     target : str
-        Identity of the target whose answer the caller received, empty if none.
+        Identity of the target whose answer the caller received, empty without such an
+        answer.
     reason : str
-        Reason why the request was not served, empty if it was.
+        Reason why the request was not served, empty for a served request.
     first_event_s : float
         Seconds from the arrival of the request to the first event of a stream, 0 if
-        there was none.
+        no event was sent.
     took_s : float
         Seconds from the arrival of the request to its end.
     remaining_s : float
@@ -72,7 +73,7 @@
     target_headers: TargetHeaders,
     progress: Progress,
 ) -> None:
-    """Log a send, with the inputs to the choice of its target."""
+    """Log that a request is sent, with the inputs to the choice of its target."""
     target = choice.target
     context.log.info(
         "sent",
@@ -124,8 +125,8 @@
     context: EntryContext, routed: RoutedRequest, progress: Progress, end: RequestEnd
 ) -> None:
     """Log and count the end of a request."""
-    write = context.log.info if end.outcome == "served" else context.log.warning
-    write(
+    write_log = context.log.info if end.outcome == "served" else context.log.warning
+    write_log(
         "finished",
         id=routed.caller.request_id,
         route=routed.route.name,
--- a/berylnotch/entry/relocation.py
+++ b/berylnotch/entry/relocation.py
@@ -1,9 +1,9 @@
 """Decides whether a run migrates to another engine, and to which.
 
 An engine that has to load weights or to leave must first be idle. Its long runs may
-last for seconds, and no other request may begin there in the meantime. To copy a run's
-KV cache takes a few ms; the stream then continues at the other engine from the event
-at which it stopped.
+last for seconds, and no other request may begin at this engine in the meantime. Copying
+the KV cache of a run takes a few ms. The stream then continues at the other engine
+after the last event that was sent.
 """
 
 from __future__ import annotations
@@ -18,22 +18,23 @@
 from berylnotch.entry.targets import Target
 from berylnotch.util.clock import boot_time
 
-#: Seconds before the deadline below which a run is not migrated any more.
+#: Remaining time, in seconds, below which a run is not migrated any more.
 MIN_REST_S = 0.15
 
-#: Fraction of an engine's slots in use below which it accepts migrated runs: each run
-#: lengthens the steps of the others, and new requests need free slots too.
+#: Fraction of an engine's slots. Only an engine with a lower load receives migrated
+#: runs, because each run lengthens the steps of the others, and new requests also need
+#: free slots.
 MAX_SLOT_FRACTION = 0.75
 
 
 def choose_destination(
     targets: Collection[Target], inputs: ChoiceInputs, source: Target
 ) -> Target | None:
-    """Return the engine to which a run migrates, or None if it stays.
+    """Return the engine to which a run migrates, None if the run stays.
 
     The engine must run the same weights and must not be draining itself. A run
-    stays if its weights are too old for new requests. Of several engines the least
-    loaded one is selected.
+    stays if its weights are too old for new requests. Of several engines, the one
+    with the lowest load is selected.
     """
     version = source.version(inputs.model)
     if version is None or inputs.outdated_s(version) >= inputs.stale_s:
@@ -71,19 +72,19 @@
         self._context = context
         self._routed = routed
         #: The stopped run that the current attempt resumes.
-        self._moved: StoppedRun | None = None
-        #: Whether the retry budget was charged for a migration that has not begun.
+        self._stopped_run: StoppedRun | None = None
+        #: Whether the retry budget was charged for a send that has not happened yet.
         self._is_charged = False
 
     @property
     def origin(self) -> str:
-        """Location of the KV cache that the current attempt resumes from, or empty."""
-        return self._moved.origin if self._moved is not None else ""
+        """Location of the KV cache from which the current attempt resumes, or empty."""
+        return self._stopped_run.origin if self._stopped_run is not None else ""
 
     def choose_destination(
         self, service_name: str, source: Target | None, excluded: Collection[str]
     ) -> Target | None:
-        """Return the engine to which the run should migrate, None if it stays."""
+        """Return the engine to which the run should migrate, None if the run stays."""
         service = self._context.routes.service(service_name)
         if service is None or service.engine is None or source is None:
             return None
@@ -98,20 +99,20 @@
             else None
         )
 
-    def begin(self, moved: StoppedRun) -> None:
+    def begin(self, stopped_run: StoppedRun) -> None:
         """Record the stopped run that the next attempt resumes."""
-        self._moved, self._is_charged = moved, False
+        self._stopped_run, self._is_charged = stopped_run, False
 
     def end(self) -> StoppedRun | None:
         """Clear and return the stopped run that the ended attempt resumed."""
-        moved, self._moved = self._moved, None
-        return moved
+        stopped_run, self._stopped_run = self._stopped_run, None
+        return stopped_run
 
     def can_resume_at_source(
-        self, moved: StoppedRun, service_name: str, refused: Target
+        self, stopped_run: StoppedRun, service_name: str, refusing_target: Target
     ) -> bool:
-        """Return whether a run may resume at its source after a refusal elsewhere."""
-        if refused is moved.source or moved.source.is_leaving:
+        """Return whether a run may resume at its source after another engine refused it."""
+        if refusing_target is stopped_run.source or stopped_run.source.is_leaving:
             return False
         return self._charge_budget(service_name)
 
--- a/berylnotch/entry/reply.py
+++ b/berylnotch/entry/reply.py
@@ -1,4 +1,4 @@
-"""Delivery of an answer to one caller."""
+"""Sends the answer to one request to its caller."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 class Reply:
     """Answer to one request, either whole or as a stream.
 
-    Several targets may contribute to a stream. The caller receives the head from the
-    first of them, and no event twice.
+    Several targets may contribute to a stream. The caller receives only the head that
+    the first of them sent, and each numbered event once.
 
     Parameters
     ----------
     connection : ServerConnection
         Connection to the caller.
     metrics : Metrics
-        Records the times of events.
+        Metrics that record the times of events.
     route : str
         Name of the request's route.
     started_at : float
@@ -49,12 +49,12 @@
 
     @property
     def last_event(self) -> int | None:
-        """Number of the last numbered event that was sent, None if there was none."""
+        """Number of the last numbered event that was sent, None before the first."""
         return self._last_event
 
     @property
     def first_event_s(self) -> float:
-        """Seconds from the request to the first event of its stream, 0 if none."""
+        """Seconds from the request to the first event of its stream, 0 before it."""
         return self._first_event_at - self._started_at if self._first_event_at else 0.0
 
     @property
--- a/berylnotch/entry/results.py
+++ b/berylnotch/entry/results.py
@@ -1,4 +1,4 @@
-"""Outcome of an attempt, and the interface that receives it."""
+"""Provides the outcome of an attempt and the interface of its receiver."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
     #: The target sent a whole answer that is not a stream.
     ANSWERED = "answered"
-    #: The target's stream ended completely.
+    #: The target's stream is complete.
     STREAM_COMPLETE = "stream complete"
     #: The target could not be reached, so no part of the request arrived.
     NOT_REACHED = "not reached"
@@ -34,7 +34,7 @@
 
 @frozen
 class AttemptResult:
-    """Outcome of an attempt, with the answer if there is one.
+    """Outcome of an attempt, with the target's answer if one has arrived.
 
     ``is_lost`` states that the connection broke while the target may have run the
     request. ``moved`` is the stopped run if ``end`` is ``AttemptEnd.MOVED``.
@@ -63,12 +63,12 @@
         """Return whether the request may be sent to another target now."""
 
     def choose_destination(self, full_engines: Collection[str]) -> Target | None:
-        """Return the engine to which the run should migrate, None if it stays.
+        """Return the engine to which the run should migrate, None if the run stays.
 
         Parameters
         ----------
         full_engines : collection of str
-            Identities of engines that refused to take the run over.
+            Identities of engines that did not take over the run.
         """
 
     def on_attempt_end(self, result: AttemptResult) -> None:
--- a/berylnotch/entry/routed_request.py
+++ b/berylnotch/entry/routed_request.py
@@ -1,4 +1,4 @@
-"""A caller's request after routing and authentication."""
+"""Provides a caller's request after routing and authentication."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from berylnotch.platform.requests import CallerRequest
 from berylnotch.routing.model import Organisation, Route, RouteKind
 
-#: Number of engine priorities for each organisation priority: equal to the number of
-#: route priorities.
+#: Number of engine priorities for each priority of organisations. It equals the number
+#: of route priorities.
 PRIORITIES_PER_RANK = 3
 
 #: Least urgent priority that engines support.
@@ -42,7 +42,7 @@
 
     @property
     def cost(self) -> int:
-        """Units that the request takes from its organisation's rate limit."""
+        """Tokens charged to the organisation's rate limit, 1 if it counts requests."""
         if self.organisation is None or not self.organisation.counts_tokens:
             return 1
         return self.caller.tokens or self.organisation.default_cost
@@ -54,7 +54,10 @@
 
     @property
     def priority(self) -> int:
-        """Engine priority, 0 being the most urgent; organisation before route."""
+        """Engine priority, 0 being the most urgent.
+
+        The organisation's priority takes precedence over the route's.
+        """
         rank = self.organisation.priority if self.organisation else 0
         return min(
             LEAST_URGENT_PRIORITY, rank * PRIORITIES_PER_RANK + self.route.priority
@@ -62,7 +65,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether engines admit the request before requests of most others."""
+        """Whether engines admit the request before requests of lower urgency."""
         return self.priority < URGENT_PRIORITY
 
     @property
--- a/berylnotch/entry/settings.py
+++ b/berylnotch/entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a router's request path."""
+"""Provides the settings of a router's request path."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen
 class EntrySettings:
-    """Time limits and weights of the request path; times in seconds.
+    """Time limits and other settings of the request path; times are in seconds.
 
     Parameters
     ----------
@@ -21,7 +21,8 @@
     max_idle_s : float, default=8.0
         Longest idle time of a kept connection that is reused for a repeatable request.
     max_idle_unrepeatable_s : float, default=1.0
-        The same for a request that must not be repeated.
+        Longest idle time of a kept connection that is reused for a request that must
+        not be repeated.
     keep_alive_margin_s : float, default=1.0
         Time before a target's announced keep-alive timeout at which its connection is
         not reused any more.
@@ -34,17 +35,18 @@
         refuse to run it.
     retry_part : float, default=0.8
         Fraction of the fleet's retry budget that the routers use. The rest covers
-        retries that routers do not yet know of each other.
+        retries of other routers that a router does not know of yet.
     retry_after_s : float, default=0.5
         Retry time for a refused caller if no better estimate exists.
     grant_retry_s : float, default=1.0
-        Retry time for a caller for whom no tokens arrived: the rest of a usual change
-        of leader, which takes about 1.5 s in all.
+        Retry time for a caller whose request was refused because no tokens arrived. It
+        covers the remaining time of a usual change of leader, which takes about 1.5 s
+        in all.
     weights_margin_s : float, default=1.0
-        Time before the operators' bound on older weights from which no request is
-        sent to an engine that runs them.
+        Margin before the operators' time limit for outdated weights. From this time on,
+        no request is sent to an engine that runs them.
     fresh_weights_s : float, default=1.2
-        Time after new weights were named in which older ones count as equally good.
+        Time after new weights were named during which older weights have no extra cost.
     quota_wait_s : float, default=0.45
         Longest wait for tokens of an organisation's limit.
     slow_factor : float, default=2.5
@@ -52,15 +54,15 @@
         without an answer goes to another target; callers wait for four times the
         target latency.
     stall_s : float, default=2.0
-        Pause in a resumable stream after which it resumes at another target.
+        Time without an event after which a resumable stream resumes at another target.
     weights_load_s : float, default=2.2
         Time that an engine usually takes to load weights.
     max_routers_unsampled : int, default=12
-        Largest number of routers at which each compares all targets. More routers
-        compare a sample, since this many send about one request each while a load
-        report is on its way.
+        Largest number of routers with which each router compares all targets. With more
+        routers, each compares a sample, because this many routers send about one
+        request each while a load report is in transit.
     sample_size : int, default=3
-        Number of targets in that sample. Two random choices give most of the benefit
+        Number of targets in the sample that a router compares. Two random choices give most of the benefit
         by the usual analysis ("power of two choices"); the third allows for an engine
         with an empty cache.
     membership : MembershipSettings
--- a/berylnotch/entry/startup_buffer.py
+++ b/berylnotch/entry/startup_buffer.py
@@ -1,7 +1,7 @@
-"""Buffer for requests that arrive before the configuration and the target list.
+"""Buffers requests that arrive before the configuration and the target list.
 
-It serves a restart of all processes at the same moment: callers reconnect at once,
-and the configuration arrives some tenths of a second later. A buffered request is
+The buffer is needed when all processes restart at the same moment. Callers reconnect at
+once, and the configuration arrives some tenths of a second later. A buffered request is
 served sooner than a request that is refused with a retry delay, and its caller does
 not spend a retry.
 """
@@ -55,10 +55,10 @@
         self._loop = loop
         self._buffer_until = buffer_until
         self._handle_request = handle_request
-        self._entries: list[_BufferedRequest] = []
+        self._buffered_requests: list[_BufferedRequest] = []
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._buffered_requests)
 
     def add(
         self,
@@ -84,20 +84,22 @@
             Whether the request was buffered.
         """
         now = boot_time()
-        until = self._buffer_until
+        release_at = self._buffer_until
         if deadline_s is not None:
-            until = min(until, request.received_at + MAX_BUFFERED_FRACTION * deadline_s)
-        if now >= until or len(self._entries) >= MAX_BUFFERED:
+            release_at = min(
+                release_at, request.received_at + MAX_BUFFERED_FRACTION * deadline_s
+            )
+        if now >= release_at or len(self._buffered_requests) >= MAX_BUFFERED:
             return False
         entry = _BufferedRequest(connection, request)
-        self._entries.append(entry)
+        self._buffered_requests.append(entry)
         connection.on_gone = lambda: self._discard(entry)
-        self._loop.call_later(until - now, lambda: self._release(entry))
+        self._loop.call_later(release_at - now, lambda: self._release(entry))
         return True
 
     def release_all(self) -> None:
         """Release all buffered requests to the request handler."""
-        for entry in tuple(self._entries):
+        for entry in tuple(self._buffered_requests):
             self._release(entry)
 
     def _release(self, entry: _BufferedRequest) -> None:
@@ -106,7 +108,7 @@
             self._handle_request(entry.connection, entry.request)
 
     def _discard(self, entry: _BufferedRequest) -> bool:
-        if entry not in self._entries:
+        if entry not in self._buffered_requests:
             return False
-        self._entries.remove(entry)
+        self._buffered_requests.remove(entry)
         return True
--- a/berylnotch/entry/targets.py
+++ b/berylnotch/entry/targets.py
@@ -1,4 +1,4 @@
-"""State of the targets as one router knows it, and its connections to them."""
+"""Provides the state of the targets at one router, and the router's connections."""
 
 from __future__ import annotations
 
@@ -33,44 +33,46 @@
     ejection : Ejection
         Outlier ejection after failures that this router observed.
     is_loading : bool
-        Whether it is loading weights.
+        Whether the target is loading weights.
     is_emptying : bool
-        Whether it drains in order to load weights, so that it should get no further
-        long requests.
+        Whether the target drains in order to load weights, so that it should get no
+        further requests with long prompts.
     is_leaving : bool
-        Whether it gets no new requests, because the target list or the target itself
-        says that it leaves.
+        Whether the target gets no new requests, because the target list or an answer of
+        the target states that it leaves.
     has_announced_leaving : bool
-        Whether it announced that in an answer to this router.
+        Whether the target announced in an answer to this router that it leaves.
     in_flight : int
         Number of this router's requests in flight at the target.
     long_in_flight : int
-        Number of these that have a long prompt.
+        Number of this router's requests in flight that have a long prompt.
     others_in_flight : int
         Number of the other routers' requests in flight, by the newest load update and
         later notes.
     idle : deque of ClientConnection
         Kept connections, in the order of decreasing idle time.
     refused_until : float
-        Boot time until which it is not used because it refused a request.
+        Boot time until which the target is not used because it refused a request or
+        requested a back-off.
     loading_until : float
-        Boot time at which it has probably loaded its weights.
+        Boot time at which the target has probably loaded its weights.
     failure_rate : float
-        Moving average of the fraction of its requests that failed.
+        Moving average of the fraction of requests that failed at the target.
     latency_s : float
-        Moving average of its answer times, for plain targets only.
+        Moving average of the target's answer times in seconds, for plain targets only.
     heard_at : float
-        Boot time at which it last sent part of an answer.
+        Boot time at which the target last sent part of an answer.
     weights_at : float
-        Boot time at which it was first listed with its current weights, 0 if it had
-        them when it was first listed.
+        Boot time at which the target was first listed with its current weights, 0 if
+        its weights have not changed since it was first listed.
     is_suspect : bool
         Whether several routers have ejected it after failures.
     unread : int
-        Number of prompt tokens of this router's requests that it has probably not read
-        yet.
+        Number of prompt tokens of this router's requests that the target has probably
+        not processed yet.
     others_unread : int
-        The same for the other routers, by the newest load update and later notes.
+        Number of unprocessed prompt tokens of the other routers' requests, by the
+        newest load update and later notes.
     """
 
     listed: ListedTarget
@@ -105,11 +107,11 @@
 
     @property
     def total_unread(self) -> int:
-        """Estimated number of prompt tokens of all routers that are not read yet."""
+        """Estimated number of all routers' prompt tokens that are not processed yet."""
         return self.unread + self.others_unread
 
     def version(self, model: str) -> int | None:
-        """Return the version of a model's weights, None if it lacks the model."""
+        """Return the version of a model's weights, None if the target lacks the model."""
         for listed_model in self.listed.models:
             if listed_model.name == model:
                 return listed_model.version
@@ -123,32 +125,32 @@
             self.latency_s += (latency_s - self.latency_s) * weight
 
     def back_off(self, now: float, pause_s: float) -> None:
-        """Stop using the target for a pause, without shortening an earlier one."""
+        """Do not use the target for some seconds, without shortening an earlier pause."""
         self.refused_until = max(self.refused_until, now + pause_s)
 
     def is_avoided(self, now: float) -> bool:
-        """Return whether it is suspect and this router is not about to probe it."""
+        """Return whether the target is suspect and not due for a probe by this router."""
         is_prober = self.ejection.is_ejected and not self.ejection.is_blocked(now)
         return self.is_suspect and not is_prober
 
     def usable_at(self, now: float) -> float:
-        """Return the earliest known boot time at which it may get a request."""
-        times = [now, self.refused_until]
+        """Return the earliest known boot time at which the target may get a request."""
+        earliest_times = [now, self.refused_until]
         if self.is_loading:
-            times.append(self.loading_until)
+            earliest_times.append(self.loading_until)
         if self.ejection.is_blocked(now):
-            times.append(self.ejection.probe_allowed_at)
-        return max(times)
+            earliest_times.append(self.ejection.probe_allowed_at)
+        return max(earliest_times)
 
     def is_usable(self, now: float) -> bool:
-        """Return whether it may get a new request."""
+        """Return whether the target may get a new request."""
         if self.is_leaving or self.is_loading or now < self.refused_until:
             return False
         return not self.ejection.is_blocked(now)
 
 
 class TargetTable:
-    """Targets by service, and connections to them.
+    """Holds the targets of all services, and connections to them.
 
     Parameters
     ----------
@@ -187,7 +189,7 @@
         return self._targets.values()
 
     def get(self, target_id: str) -> Target | None:
-        """Return the target with an identity, None if it is not listed."""
+        """Return the target with an identity, None if no such target is listed."""
         return self._targets.get(target_id)
 
     def update(
@@ -202,13 +204,13 @@
         entries : iterable of TargetEntry
             New or changed targets.
         gone : iterable of str, optional
-            Identities that are no longer listed; by default all that are not among
-            the entries.
+            Identities of targets that are no longer listed. By default, these are all
+            targets that are not among the entries.
 
         Returns
         -------
         list of str
-            Identities whose earlier incarnation is gone.
+            Identities of the targets that were removed or have restarted.
         """
         lost, listed = [], set()
         previous = dict(self._targets)
@@ -237,8 +239,8 @@
     def connect(self, target: Target, is_repeatable: bool) -> ClientConnection:
         """Return a kept or new connection for a request.
 
-        A request that must not be repeated gets a kept connection only if that was
-        used a moment ago. If the target has closed the connection in the meantime, the
+        A request that must not be repeated gets a kept connection only if this
+        connection was used a moment ago. If the target has closed the connection in the meantime, the
         request is lost with an unknown outcome.
         """
         now = boot_time()
@@ -285,9 +287,9 @@
 
     def close_expired(self) -> None:
         """Close the connections that have been idle for too long."""
-        oldest = boot_time() - self._settings.max_idle_s
+        min_idle_since = boot_time() - self._settings.max_idle_s
         for target in self._targets.values():
-            while target.idle and target.idle[0].idle_since < oldest:
+            while target.idle and target.idle[0].idle_since < min_idle_since:
                 target.idle.popleft().close()
 
     def _apply_entry(self, entry: TargetEntry) -> bool:
