--- a/berylnotch/entry/candidates.py
+++ b/berylnotch/entry/candidates.py
@@ -103,9 +103,9 @@
 
     The source is the first other engine with the same weights after the prompt's
     position on the consistent-hash ring. If the receiver is the home of the prompt, the
-    source is usually the engine that was the home before. An engine that has just
-    loaded its weights holds few prompts, so it is returned only if no other engine is
-    available.
+    source is the engine that was the home before, if there was such an engine. An
+    engine that has just loaded its weights holds few prompts, so it is returned only if
+    no other engine is available.
     """
     version = receiver.version(inputs.model)
     recently_loaded_target = None
@@ -130,7 +130,7 @@
 
 
 def usable_targets(targets: Collection[Target], inputs: ChoiceInputs) -> list[Target]:
-    """Return the targets that can serve a request, or fallbacks if there are no others."""
+    """Return the targets that can serve a request, fallbacks if there are no others."""
     usable = [t for t in targets if _can_serve(t, inputs)]
     return [t for t in usable if not _is_fallback(t, inputs)] or usable
 
--- a/berylnotch/entry/choice.py
+++ b/berylnotch/entry/choice.py
@@ -48,8 +48,8 @@
 MIN_AFFINITY_TOKENS = 128
 
 #: Cost, in ms for 1,000 tokens, of processing the shared prefix of a short prompt at an
-#: engine other than the prompt's home. If the home has not processed the prefix yet, the
-#: prefix is processed a second time later.
+#: engine other than the prompt's home. If the home has not processed the prefix yet,
+#: the prefix is processed twice, because the home still has to process it later.
 OFF_HOME_COST_MS_PER_1K = 120.0
 
 
@@ -69,15 +69,15 @@
     choices = [c for c in choices if begins_in_time(c, inputs)]
 
     def cost_ms(choice: Choice) -> float:
-        cost = (
+        total_ms = (
             total_cost_ms(choice, inputs)
             + COPY_COST_MS_PER_1K * choice.copied_tokens / 1000
         )
-        cost += REPROCESSING_COST_MS_PER_1K * choice.reprocessed_tokens / 1000
+        total_ms += REPROCESSING_COST_MS_PER_1K * choice.reprocessed_tokens / 1000
         has_home_bonus = (
             choice.target is home and choice.uncached_tokens > holdings.own_tokens
         )
-        return cost - HOME_BONUS_MS if has_home_bonus else cost
+        return total_ms - HOME_BONUS_MS if has_home_bonus else total_ms
 
     return min(choices, key=lambda c: (cost_ms(c), c.target is not home), default=None)
 
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -178,13 +178,13 @@
 
     def _retry_settings(self) -> RetrySettings:
         bounds, fraction = self.fleet.bounds, self.settings.retry_part
-        routers = self.router_count
+        sharing_router_count = self.router_count
         if not self.is_roster_known:
-            routers = max(routers, ASSUMED_ROUTER_COUNT)
-        share = bounds.retry_slack / routers
+            sharing_router_count = max(sharing_router_count, ASSUMED_ROUTER_COUNT)
+        slack_share = bounds.retry_slack / sharing_router_count
         # With a reserve below one retry, the budget would allow the first retry only
         # after many requests.
-        reserve = max(share * fraction, min(1.0, share))
+        reserve = max(slack_share * fraction, min(1.0, slack_share))
         return RetrySettings(
             max_attempts=self.settings.max_sends,
             ratio=bounds.retry_ratio * fraction,
--- a/berylnotch/entry/failover.py
+++ b/berylnotch/entry/failover.py
@@ -11,8 +11,9 @@
 #: counts as slow and not yet as stalled.
 STALL_FACTOR = 3.0
 
-#: Multiple of the delay that was expected when the target was chosen. The target counts
-#: as busy, not as stuck, until this multiple and the margin in seconds have passed.
+#: Multiple of the delay that was expected when the target was chosen, and a margin in
+#: seconds. The target counts as busy, not as stuck, until their sum has passed since
+#: the request was sent.
 EXPECTED_DELAY_FACTOR = 2.0
 EXPECTED_DELAY_MARGIN_S = 1.0
 
--- a/berylnotch/entry/judging.py
+++ b/berylnotch/entry/judging.py
@@ -14,7 +14,7 @@
 
 
 def forwarded_headers(head: ResponseHead) -> Headers:
-    """Return the headers for the caller, without the length, which is recomputed."""
+    """Return the headers for the caller, without the length, which the router sets."""
     return head.headers.end_to_end().without(("content-length",))
 
 
--- a/berylnotch/entry/model.py
+++ b/berylnotch/entry/model.py
@@ -62,9 +62,9 @@
         Returns the number of levels that a store probably holds for the weights of a
         target.
     ring_walk : callable or None
-        Returns the targets in their order on the consistent-hash ring from the position of
-        a key. The order is the same at all routers. With None the hashes of the targets
-        are compared.
+        Returns the targets in their order on the consistent-hash ring, beginning at the
+        position of a key. The order is the same at all routers. With None the hashes of
+        the targets are compared.
     weights_samples : callable
         Returns one target for each set of weights that is in use.
     costs : EngineCosts
--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -18,8 +18,9 @@
 #: Cost of running on weights older than the newest named version, in ms.
 OUTDATED_WEIGHTS_MS = 400.0
 
-#: Cost of an answer that misses its target latency, in ms. It is three times the cost of
-#: outdated weights, because a late answer is less useful to the caller.
+#: Cost of an answer that misses its target latency, in ms. It is three times the cost
+#: of outdated weights, because lateness reduces the value of an answer to the caller
+#: that much more.
 LATE_MS = 1200.0
 
 #: Fraction of the target latency up to which an expected delay has no risk of being
@@ -92,9 +93,10 @@
         )
         if target.is_loading or target.ejection.is_blocked(self._inputs.now):
             return
-        best = self._sources.get(version)
+        best_source = self._sources.get(version)
         if cached.ready and (
-            best is None or _is_better_source(cached, self.cached_levels(best))
+            best_source is None
+            or _is_better_source(cached, self.cached_levels(best_source))
         ):
             self._sources[version] = target
 
@@ -113,33 +115,33 @@
 ) -> Choice:
     """Return the expected delay at a target, and how it obtains the prompt."""
     chain, costs = inputs.chain, inputs.costs
-    held = chain.total(holdings.cached_levels(target).ready_or_pending)
+    held_tokens = chain.total(holdings.cached_levels(target).ready_or_pending)
     own_tokens = holdings.own_tokens
     # Tokens of levels that the target is still processing already count in its prompt
     # queue.
-    delay = costs.prefill_ms(own_tokens, target.load)
-    if held >= chain.shared_tokens:
-        return make_choice(target, inputs, delay, uncached_tokens=own_tokens)
-    source, levels = holdings.source(target)
-    copied_tokens = chain.total(levels) - held
-    stored_tokens = chain.total(inputs.stored_levels(target)) - held
+    delay_ms = costs.prefill_ms(own_tokens, target.load)
+    if held_tokens >= chain.shared_tokens:
+        return make_choice(target, inputs, delay_ms, uncached_tokens=own_tokens)
+    source, source_levels = holdings.source(target)
+    copied_tokens = chain.total(source_levels) - held_tokens
+    stored_tokens = chain.total(inputs.stored_levels(target)) - held_tokens
     if source is not None and copied_tokens > 0 and copied_tokens >= stored_tokens:
         is_far = source.listed.failure_domain != target.listed.failure_domain
-        delay += costs.copy_ms(copied_tokens, is_far)
-        cached = held + copied_tokens
+        delay_ms += costs.copy_ms(copied_tokens, is_far)
+        cached_tokens = held_tokens + copied_tokens
     else:
         source, copied_tokens = None, 0
-        cached = held + max(0, stored_tokens)
-        delay += costs.store_ms(max(0, stored_tokens))
-    uncached = chain.shared_tokens - cached
-    delay += costs.prefill_ms(uncached, target.load)
-    reprocessed_tokens = max(0, holdings.known_tokens(target) - cached)
+        cached_tokens = held_tokens + max(0, stored_tokens)
+        delay_ms += costs.store_ms(max(0, stored_tokens))
+    uncached_tokens = chain.shared_tokens - cached_tokens
+    delay_ms += costs.prefill_ms(uncached_tokens, target.load)
+    reprocessed_tokens = max(0, holdings.known_tokens(target) - cached_tokens)
     return make_choice(
         target,
         inputs,
-        delay,
+        delay_ms,
         source=source,
-        uncached_tokens=own_tokens + uncached,
+        uncached_tokens=own_tokens + uncached_tokens,
         copied_tokens=copied_tokens,
         reprocessed_tokens=reprocessed_tokens,
     )
@@ -174,27 +176,27 @@
     **changes
         Further fields of the choice.
     """
-    drawback = _drawback_ms(target, inputs)
+    drawback_ms = _drawback_ms(target, inputs)
     if not inputs.model:
-        return Choice(target, prompt_ms + 1000 * target.latency_s, 0.0, drawback)
+        return Choice(target, prompt_ms + 1000 * target.latency_s, 0.0, drawback_ms)
     costs = inputs.costs
-    queue = costs.prefill_ms(target.total_unread, target.load)
-    delay = costs.base_ms + inputs.queue_share * queue + prompt_ms
-    return Choice(target, delay, queue, drawback, **changes)
+    queue_ms = costs.prefill_ms(target.total_unread, target.load)
+    delay_ms = costs.base_ms + inputs.queue_share * queue_ms + prompt_ms
+    return Choice(target, delay_ms, queue_ms, drawback_ms, **changes)
 
 
 def _drawback_ms(target: Target, inputs: ChoiceInputs) -> float:
     """Return the cost of a target in addition to its expected delay, in ms."""
-    cost = FAILURE_MS * target.ejection.failures
-    cost += (
+    cost_ms = FAILURE_MS * target.ejection.failures
+    cost_ms += (
         FULL_FAILURE_RATE_MS * target.failure_rate + REQUEST_IN_FLIGHT_MS * target.load
     )
     if target.listed.failure_domain != inputs.failure_domain:
-        cost += OTHER_DOMAIN_MS
+        cost_ms += OTHER_DOMAIN_MS
     if not inputs.model:
-        over = target.load + 1 - max(1, target.listed.slots)
-        cost += QUEUED_MS * max(0, over)
-    return cost
+        excess_requests = target.load + 1 - max(1, target.listed.slots)
+        cost_ms += QUEUED_MS * max(0, excess_requests)
+    return cost_ms
 
 
 def total_cost_ms(choice: Choice, inputs: ChoiceInputs) -> float:
@@ -203,16 +205,16 @@
     It is the sum of the expected delay, the additional cost of the target, and the
     lower value of an answer that is late or comes from outdated weights.
     """
-    cost = choice.delay_ms + choice.drawback_ms
+    cost_ms = choice.delay_ms + choice.drawback_ms
     if not inputs.model:
-        return cost
+        return cost_ms
     version = choice.target.version(inputs.model) or 0
     if inputs.outdated_s(version) > inputs.fresh_s:
-        cost += OUTDATED_WEIGHTS_MS
+        cost_ms += OUTDATED_WEIGHTS_MS
     latency_ms = 1000 * inputs.target_latency_s
     if latency_ms:
-        over = (choice.delay_ms / latency_ms - SAFE_LATENCY_FRACTION) / (
+        late_fraction = (choice.delay_ms / latency_ms - SAFE_LATENCY_FRACTION) / (
             1 - SAFE_LATENCY_FRACTION
         )
-        cost += LATE_MS * min(1.0, max(0.0, over))
-    return cost
+        cost_ms += LATE_MS * min(1.0, max(0.0, late_fraction))
+    return cost_ms
--- a/berylnotch/entry/quota_gate.py
+++ b/berylnotch/entry/quota_gate.py
@@ -78,7 +78,7 @@
         return True
 
     def receive(self, now: float, sent_at: float, reply: GrantReply) -> None:
-        """Apply a reply of the quota owner, and charge the requests that wait for it."""
+        """Apply a reply of the quota owner, and charge the waiting requests."""
         if self._quota.receive(sent_at, reply):
             self.serve(now)
 
@@ -86,9 +86,15 @@
         self, now: float, name: str, incarnation: str, address: str, domain: str
     ) -> GrantRequest:
         """Return the next request for tokens to the quota owner."""
-        asks = self._quota.asks(now)
+        token_requests = self._quota.asks(now)
         return GrantRequest(
-            name, incarnation, address, domain, False, self._quota.sequence, asks
+            name,
+            incarnation,
+            address,
+            domain,
+            False,
+            self._quota.sequence,
+            token_requests,
         )
 
     def serve(self, now: float) -> None:
@@ -100,12 +106,12 @@
         queue = self._pending[organisation]
         retry_s = self._quota.retry_after_ms(organisation) / 1000
         while queue:
-            first = queue[0]
-            if self._quota.charge(now, organisation, first.tokens):
+            first_charge = queue[0]
+            if self._quota.charge(now, organisation, first_charge.tokens):
                 queue.popleft().on_charged(Charge.CHARGED, 0.0)
             elif retry_s > 0:
                 queue.popleft().on_charged(Charge.OVER_LIMIT, retry_s)
-            elif now >= first.expires_at:
+            elif now >= first_charge.expires_at:
                 queue.popleft().on_charged(Charge.UNKNOWN, 0.0)
             else:
                 break
@@ -115,6 +121,6 @@
 
     def _update_demand(self, organisation: str) -> None:
         queue = self._pending.get(organisation, ())
-        total = sum(pending.tokens for pending in queue)
-        first = queue[0].tokens if queue else 0
-        self._quota.want(organisation, total, first)
+        total_tokens = sum(pending.tokens for pending in queue)
+        first_tokens = queue[0].tokens if queue else 0
+        self._quota.want(organisation, total_tokens, first_tokens)
--- a/berylnotch/entry/reading.py
+++ b/berylnotch/entry/reading.py
@@ -52,7 +52,7 @@
         self._is_processed = False
 
     def begin(self) -> None:
-        """Count the prompt as unprocessed, and note which target will hold its parts."""
+        """Count the prompt as unprocessed, and note that the target will hold it."""
         self._target.unread += self._unread_tokens
         if self._target_headers.run_origin:
             # The KV cache of a resumed run is not reusable for other prompts.
@@ -60,7 +60,7 @@
             self._context.prompts.add_unshared_tokens(self._target.target_id, tokens)
             return
         if self._note_prompt(is_ready=False):
-            # Until other routers receive the notes, their choice does not consider them.
+            # Other routers choose the same engine until they receive the notes.
             self._context.schedule_report()
 
     def done(self, sent_at: float) -> None:
@@ -113,8 +113,9 @@
     def _note_prompt(self, is_ready: bool) -> bool:
         """Note which target and store will hold the shared parts of the prompt.
 
-        The deepest level is noted with every request, because a note marks the prompt as
-        recently used in the LRU order. The other levels are noted only if they are new.
+        The deepest level is noted with every request, because a note marks the
+        prompt as recently used in the LRU order. The other levels are noted only if
+        they are new.
 
         Parameters
         ----------
--- a/berylnotch/entry/relocation.py
+++ b/berylnotch/entry/relocation.py
@@ -111,7 +111,7 @@
     def can_resume_at_source(
         self, stopped_run: StoppedRun, service_name: str, refusing_target: Target
     ) -> bool:
-        """Return whether a run may resume at its source after another engine refused it."""
+        """Return whether a run that an engine refused may resume at its source."""
         if refusing_target is stopped_run.source or stopped_run.source.is_leaving:
             return False
         return self._charge_budget(service_name)
--- a/berylnotch/entry/routed_request.py
+++ b/berylnotch/entry/routed_request.py
@@ -65,7 +65,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether engines admit the request before requests of lower urgency."""
+        """Whether engines admit the request before most other requests."""
         return self.priority < URGENT_PRIORITY
 
     @property
--- a/berylnotch/entry/settings.py
+++ b/berylnotch/entry/settings.py
@@ -43,8 +43,8 @@
         covers the remaining time of a usual change of leader, which takes about 1.5 s
         in all.
     weights_margin_s : float, default=1.0
-        Margin before the operators' time limit for outdated weights. From this time on,
-        no request is sent to an engine that runs them.
+        Time before the operators' limit for outdated weights from which no request is
+        sent to an engine with such weights.
     fresh_weights_s : float, default=1.2
         Time after new weights were named during which older weights have no extra cost.
     quota_wait_s : float, default=0.45
@@ -62,9 +62,9 @@
         routers, each compares a sample, because this many routers send about one
         request each while a load report is in transit.
     sample_size : int, default=3
-        Number of targets in the sample that a router compares. Two random choices give most of the benefit
-        by the usual analysis ("power of two choices"); the third allows for an engine
-        with an empty cache.
+        Number of targets in the sample that a router compares. Two random choices give
+        most of the benefit by the usual analysis ("power of two choices"); the third
+        allows for an engine with an empty cache.
     membership : MembershipSettings
         Limits at which a failing target is ejected.
     """
--- a/berylnotch/entry/targets.py
+++ b/berylnotch/entry/targets.py
@@ -111,7 +111,7 @@
         return self.unread + self.others_unread
 
     def version(self, model: str) -> int | None:
-        """Return the version of a model's weights, None if the target lacks the model."""
+        """Return the version of a model's weights, None without such a model."""
         for listed_model in self.listed.models:
             if listed_model.name == model:
                 return listed_model.version
@@ -125,11 +125,11 @@
             self.latency_s += (latency_s - self.latency_s) * weight
 
     def back_off(self, now: float, pause_s: float) -> None:
-        """Do not use the target for some seconds, without shortening an earlier pause."""
+        """Pause the use of the target, without shortening an earlier pause."""
         self.refused_until = max(self.refused_until, now + pause_s)
 
     def is_avoided(self, now: float) -> bool:
-        """Return whether the target is suspect and not due for a probe by this router."""
+        """Return whether the target is suspect and this router may not probe it."""
         is_prober = self.ejection.is_ejected and not self.ejection.is_blocked(now)
         return self.is_suspect and not is_prober
 
@@ -150,7 +150,7 @@
 
 
 class TargetTable:
-    """Holds the targets of all services, and connections to them.
+    """Holds the targets of all services, and the connections to these targets.
 
     Parameters
     ----------
@@ -212,19 +212,21 @@
         list of str
             Identities of the targets that were removed or have restarted.
         """
-        lost, listed = [], set()
+        lost_ids, listed_ids = [], set()
         previous = dict(self._targets)
         for entry in entries:
-            listed.add(entry.target.target_id)
+            listed_ids.add(entry.target.target_id)
             if self._apply_entry(entry):
-                lost.append(entry.target.target_id)
+                lost_ids.append(entry.target.target_id)
         if gone is None:
-            gone = [target_id for target_id in self._targets if target_id not in listed]
+            gone = [
+                target_id for target_id in self._targets if target_id not in listed_ids
+            ]
         for target_id in gone:
             target = self._targets.pop(target_id, None)
             if target is not None:
                 self._close_idle(target)
-                lost.append(target_id)
+                lost_ids.append(target_id)
         if self._targets != previous:
             self._rings = {}
         self._by_service = {}
@@ -234,14 +236,14 @@
             service: {t.listed.models: t for t in targets}.values()
             for service, targets in self._by_service.items()
         }
-        return lost
+        return lost_ids
 
     def connect(self, target: Target, is_repeatable: bool) -> ClientConnection:
         """Return a kept or new connection for a request.
 
         A request that must not be repeated gets a kept connection only if this
-        connection was used a moment ago. If the target has closed the connection in the meantime, the
-        request is lost with an unknown outcome.
+        connection was used a moment ago. If the target has closed the connection in the
+        meantime, the request is lost with an unknown outcome.
         """
         now = boot_time()
         max_idle_s = self._settings.max_idle_s
@@ -322,5 +324,5 @@
             target.idle.pop().close()
 
 
-def _is_same_incarnation(one: ListedTarget, other: ListedTarget) -> bool:
-    return one.address == other.address and one.born_ms == other.born_ms
+def _is_same_incarnation(previous: ListedTarget, current: ListedTarget) -> bool:
+    return previous.address == current.address and previous.born_ms == current.born_ms
