--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -1,4 +1,4 @@
-"""Expected delay and additional costs of a target for a request, in ms."""
+"""Computes the expected delay and the additional costs of a target, in ms."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from berylnotch.entry.targets import Target
 from berylnotch.placement.cache_model import CachedLevels
 
-#: Cost of each request in flight at an engine, in ms: the time by which it lengthens
-#: the steps of the other requests.
+#: Cost of each request in flight at an engine, in ms. It is the time by which such a
+#: request lengthens the steps of the others.
 REQUEST_IN_FLIGHT_MS = 5.0
 
 #: Multiple of the expected delay within which an engine certainly begins a request.
@@ -18,8 +18,9 @@
 #: Cost of running on weights older than the newest named version, in ms.
 OUTDATED_WEIGHTS_MS = 400.0
 
-#: Cost of an answer that misses its target latency, in ms: three times that of
-#: outdated weights, because a late answer is worth that much less to the caller.
+#: Cost of an answer that misses its target latency, in ms. It is three times the cost
+#: of outdated weights, because lateness reduces the value of an answer to the caller
+#: that much more.
 LATE_MS = 1200.0
 
 #: Fraction of the target latency up to which an expected delay has no risk of being
@@ -36,8 +37,8 @@
 #: corresponding fraction.
 FULL_FAILURE_RATE_MS = 400.0
 
-#: Cost of each request beyond the slots of a plain target, in ms, since it waits for a
-#: free slot.
+#: Cost, in ms, of each request beyond the slots of a plain target, because such a
+#: request waits for a free slot.
 QUEUED_MS = 60.0
 
 
@@ -56,17 +57,18 @@
         self._inputs = inputs
         self._chain = inputs.chain
         self._cached_levels = {t.target_id: inputs.cached_levels(t) for t in targets}
-        #: Tokens that are not shared, so that any engine has to read them.
+        #: Number of tokens that are not shared. Every engine has to process them.
         self.own_tokens = max(0, inputs.prompt_tokens - self._chain.shared_tokens)
-        #: Largest number of levels that an engine holds or reads, by weights version.
+        #: Largest number of levels that an engine holds or is processing, by weights
+        #: version.
         self._known_levels: dict[int | None, int] = {}
-        #: Engine that has read the most levels, by weights version.
+        #: Engine that has processed the most levels, by weights version.
         self._sources: dict[int | None, Target] = {}
         for target in targets:
             self._add(target)
 
     def cached_levels(self, target: Target) -> CachedLevels:
-        """Return the levels that a target holds."""
+        """Return the levels that a target probably holds."""
         return self._cached_levels[target.target_id]
 
     def known_tokens(self, target: Target) -> int:
@@ -91,18 +93,19 @@
         )
         if target.is_loading or target.ejection.is_blocked(self._inputs.now):
             return
-        best = self._sources.get(version)
+        best_source = self._sources.get(version)
         if cached.ready and (
-            best is None or _is_better_source(cached, self.cached_levels(best))
+            best_source is None
+            or _is_better_source(cached, self.cached_levels(best_source))
         ):
             self._sources[version] = target
 
 
 def _is_better_source(cached: CachedLevels, other: CachedLevels) -> bool:
-    """Return whether an engine holds more levels, or as many that were used later.
+    """Return whether an engine has more levels, or as many that were used later.
 
-    Engines reuse the memory of the least recently used prompts first, so recently used
-    levels are less likely to have been evicted.
+    Engines evict the least recently used prompts first, so recently used levels are
+    more likely to be still in the cache.
     """
     return (cached.ready, cached.used_at) > (other.ready, other.used_at)
 
@@ -112,40 +115,40 @@
 ) -> Choice:
     """Return the expected delay at a target, and how it obtains the prompt."""
     chain, costs = inputs.chain, inputs.costs
-    held = chain.total(holdings.cached_levels(target).ready_or_pending)
+    held_tokens = chain.total(holdings.cached_levels(target).ready_or_pending)
     own_tokens = holdings.own_tokens
-    # The unread tokens of levels that the target is still reading are counted in its
-    # queue already.
-    delay = costs.prefill_ms(own_tokens, target.load)
-    if held >= chain.shared_tokens:
-        return make_choice(target, inputs, delay, uncached_tokens=own_tokens)
-    source, levels = holdings.source(target)
-    copied_tokens = chain.total(levels) - held
-    stored_tokens = chain.total(inputs.stored_levels(target)) - held
+    # Tokens of levels that the target is still processing already count in its prompt
+    # queue.
+    delay_ms = costs.prefill_ms(own_tokens, target.load)
+    if held_tokens >= chain.shared_tokens:
+        return make_choice(target, inputs, delay_ms, uncached_tokens=own_tokens)
+    source, source_levels = holdings.source(target)
+    copied_tokens = chain.total(source_levels) - held_tokens
+    stored_tokens = chain.total(inputs.stored_levels(target)) - held_tokens
     if source is not None and copied_tokens > 0 and copied_tokens >= stored_tokens:
         is_far = source.listed.failure_domain != target.listed.failure_domain
-        delay += costs.copy_ms(copied_tokens, is_far)
-        cached = held + copied_tokens
+        delay_ms += costs.copy_ms(copied_tokens, is_far)
+        cached_tokens = held_tokens + copied_tokens
     else:
         source, copied_tokens = None, 0
-        cached = held + max(0, stored_tokens)
-        delay += costs.store_ms(max(0, stored_tokens))
-    uncached = chain.shared_tokens - cached
-    delay += costs.prefill_ms(uncached, target.load)
-    reprocessed_tokens = max(0, holdings.known_tokens(target) - cached)
+        cached_tokens = held_tokens + max(0, stored_tokens)
+        delay_ms += costs.store_ms(max(0, stored_tokens))
+    uncached_tokens = chain.shared_tokens - cached_tokens
+    delay_ms += costs.prefill_ms(uncached_tokens, target.load)
+    reprocessed_tokens = max(0, holdings.known_tokens(target) - cached_tokens)
     return make_choice(
         target,
         inputs,
-        delay,
+        delay_ms,
         source=source,
-        uncached_tokens=own_tokens + uncached,
+        uncached_tokens=own_tokens + uncached_tokens,
         copied_tokens=copied_tokens,
         reprocessed_tokens=reprocessed_tokens,
     )
 
 
 def begins_in_time(choice: Choice, inputs: ChoiceInputs) -> bool:
-    """Return whether an engine begins before its weights are too old to be used."""
+    """Return whether an engine begins a request before its weights become too old."""
     if not inputs.model:
         return True
     outdated_s = inputs.outdated_s(choice.target.version(inputs.model) or 0)
@@ -169,31 +172,31 @@
     inputs : ChoiceInputs
         Inputs to the choice.
     prompt_ms : float
-        Time for the request's own prompt, without the queue before it.
+        Time, in ms, to process the request's own prompt, without the prompt queue.
     **changes
         Further fields of the choice.
     """
-    drawback = _drawback_ms(target, inputs)
+    drawback_ms = _drawback_ms(target, inputs)
     if not inputs.model:
-        return Choice(target, prompt_ms + 1000 * target.latency_s, 0.0, drawback)
+        return Choice(target, prompt_ms + 1000 * target.latency_s, 0.0, drawback_ms)
     costs = inputs.costs
-    queue = costs.prefill_ms(target.total_unread, target.load)
-    delay = costs.base_ms + inputs.queue_share * queue + prompt_ms
-    return Choice(target, delay, queue, drawback, **changes)
+    queue_ms = costs.prefill_ms(target.total_unread, target.load)
+    delay_ms = costs.base_ms + inputs.queue_share * queue_ms + prompt_ms
+    return Choice(target, delay_ms, queue_ms, drawback_ms, **changes)
 
 
 def _drawback_ms(target: Target, inputs: ChoiceInputs) -> float:
-    """Return the cost of a target beside its expected delay, in ms."""
-    cost = FAILURE_MS * target.ejection.failures
-    cost += (
+    """Return the cost of a target in addition to its expected delay, in ms."""
+    cost_ms = FAILURE_MS * target.ejection.failures
+    cost_ms += (
         FULL_FAILURE_RATE_MS * target.failure_rate + REQUEST_IN_FLIGHT_MS * target.load
     )
     if target.listed.failure_domain != inputs.failure_domain:
-        cost += OTHER_DOMAIN_MS
+        cost_ms += OTHER_DOMAIN_MS
     if not inputs.model:
-        over = target.load + 1 - max(1, target.listed.slots)
-        cost += QUEUED_MS * max(0, over)
-    return cost
+        excess_requests = target.load + 1 - max(1, target.listed.slots)
+        cost_ms += QUEUED_MS * max(0, excess_requests)
+    return cost_ms
 
 
 def total_cost_ms(choice: Choice, inputs: ChoiceInputs) -> float:
@@ -202,16 +205,16 @@
     It is the sum of the expected delay, the additional cost of the target, and the
     lower value of an answer that is late or comes from outdated weights.
     """
-    cost = choice.delay_ms + choice.drawback_ms
+    cost_ms = choice.delay_ms + choice.drawback_ms
     if not inputs.model:
-        return cost
+        return cost_ms
     version = choice.target.version(inputs.model) or 0
     if inputs.outdated_s(version) > inputs.fresh_s:
-        cost += OUTDATED_WEIGHTS_MS
+        cost_ms += OUTDATED_WEIGHTS_MS
     latency_ms = 1000 * inputs.target_latency_s
     if latency_ms:
-        over = (choice.delay_ms / latency_ms - SAFE_LATENCY_FRACTION) / (
+        late_fraction = (choice.delay_ms / latency_ms - SAFE_LATENCY_FRACTION) / (
             1 - SAFE_LATENCY_FRACTION
         )
-        cost += LATE_MS * min(1.0, max(0.0, over))
-    return cost
+        cost_ms += LATE_MS * min(1.0, max(0.0, late_fraction))
+    return cost_ms
--- a/berylnotch/entry/quota_gate.py
+++ b/berylnotch/entry/quota_gate.py
@@ -20,7 +20,7 @@
     UNKNOWN = "limit-unknown"
 
 
-#: Called with the outcome, and with the seconds after which the caller may retry.
+#: Called with the outcome and with the retry delay of the caller in seconds.
 OnCharged = Callable[[Charge, float], None]
 
 
@@ -34,7 +34,7 @@
 
 
 class QuotaGate:
-    """Charges requests against the tokens that the quota owner granted this router.
+    """Charges requests to the tokens that the quota owner granted to this router.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         Returns
         -------
         bool
-            Whether the owner should be asked for tokens soon.
+            Whether the quota owner should be asked for tokens soon.
         """
         queue = self._pending.get(organisation)
         if not queue and self._quota.charge(now, organisation, tokens):
@@ -78,17 +78,23 @@
         return True
 
     def receive(self, now: float, sent_at: float, reply: GrantReply) -> None:
-        """Apply the owner's reply and charge the requests that wait for it."""
+        """Apply a reply of the quota owner, and charge the waiting requests."""
         if self._quota.receive(sent_at, reply):
             self.serve(now)
 
     def request(
         self, now: float, name: str, incarnation: str, address: str, domain: str
     ) -> GrantRequest:
-        """Return the next request to the owner."""
-        asks = self._quota.asks(now)
+        """Return the next request for tokens to the quota owner."""
+        token_requests = self._quota.asks(now)
         return GrantRequest(
-            name, incarnation, address, domain, False, self._quota.sequence, asks
+            name,
+            incarnation,
+            address,
+            domain,
+            False,
+            self._quota.sequence,
+            token_requests,
         )
 
     def serve(self, now: float) -> None:
@@ -100,12 +106,12 @@
         queue = self._pending[organisation]
         retry_s = self._quota.retry_after_ms(organisation) / 1000
         while queue:
-            first = queue[0]
-            if self._quota.charge(now, organisation, first.tokens):
+            first_charge = queue[0]
+            if self._quota.charge(now, organisation, first_charge.tokens):
                 queue.popleft().on_charged(Charge.CHARGED, 0.0)
             elif retry_s > 0:
                 queue.popleft().on_charged(Charge.OVER_LIMIT, retry_s)
-            elif now >= first.expires_at:
+            elif now >= first_charge.expires_at:
                 queue.popleft().on_charged(Charge.UNKNOWN, 0.0)
             else:
                 break
@@ -115,6 +121,6 @@
 
     def _update_demand(self, organisation: str) -> None:
         queue = self._pending.get(organisation, ())
-        total = sum(pending.tokens for pending in queue)
-        first = queue[0].tokens if queue else 0
-        self._quota.want(organisation, total, first)
+        total_tokens = sum(pending.tokens for pending in queue)
+        first_tokens = queue[0].tokens if queue else 0
+        self._quota.want(organisation, total_tokens, first_tokens)
