--- a/berylnotch/placement/cache_model.py
+++ b/berylnotch/placement/cache_model.py
@@ -1,9 +1,10 @@
 """Estimated KV cache contents of engines and KV stores, shared between the routers.
 
 Each router records the shared prefixes that engines prefill for its requests, sends
-these records to the other routers as notes, and applies their notes. An engine's cache
-is modelled as a list of prefixes in least recently used order. A prefix is identified
-by the 32-bit hash of its path (`berylnotch.placement.chains.hash_prefix`).
+these records to the other routers as notes, and applies the notes that it receives. An
+engine's cache is modelled as a list of prefixes in least recently used order. The
+prefixes of one prompt form a chain, and each prefix is a level of this chain. A prefix
+is identified by a 32-bit hash (`berylnotch.placement.chains.hash_prefix`).
 """
 
 from __future__ import annotations
@@ -29,10 +30,11 @@
 #: after about this time, and the engine drops their requests.
 PENDING_PREFILL_TTL_S = 4.0
 
-#: Most entries for KV stores; the oldest entries are dropped.
+#: Maximum number of entries for KV stores; the oldest entries are dropped.
 MAX_STORE_ENTRIES = 8192
 
-#: Most notes that are queued for the next report; further notes are dropped.
+#: Maximum number of notes that are queued for the next report; further notes are
+#: dropped.
 MAX_QUEUED_NOTES = 256
 
 
@@ -80,8 +82,8 @@
 class _EngineCache:
     """Modelled cache of one engine: entries by prefix hash, least recently used first.
 
-    Negative keys stand for the unshared rests of prompts. They are never looked up, but
-    take up cache space.
+    Entries with negative keys stand for the unshared ends of prompts. They are never
+    looked up, but take up cache space.
     """
 
     entries: OrderedDict[int, _CacheEntry] = field(factory=OrderedDict)
@@ -94,7 +96,7 @@
     def __init__(self) -> None:
         self._caches: dict[str, _EngineCache] = {}
         #: Engines that cache or prefill a prefix, by prefix hash.
-        self._holders: dict[int, set[str]] = {}
+        self._engines_by_prefix: dict[int, set[str]] = {}
         self._store_entries: OrderedDict[tuple[str, int], float] = OrderedDict()
         #: Tokens of prompts that no note has reported yet, by the engine that prefills
         #: them.
@@ -140,24 +142,28 @@
     ) -> set[str]:
         """Return engines that may cache or prefill a level of a chain.
 
-        Engines with deeper levels are preferred. If more engines share a level than
-        there is room for, a random contiguous selection of them is taken.
+        Engines with deeper levels are preferred. If the engines of a level exceed the
+        rest of the limit, a random contiguous range of these engines is selected.
 
         Parameters
         ----------
         hashes : sequence of int
             Prefix hashes of the chain's levels.
         limit : int
-            Most engines to return.
+            Maximum number of engines to return.
         draw : callable
             Returns a random integer from 0 up to, but excluding, its argument.
         """
         selected: set[str] = set()
         for prefix_hash in reversed(hashes):
-            engines = self._holders.get(prefix_hash, ())
-            room = limit - len(selected)
-            first = draw(len(engines) - room + 1) if len(engines) > room else 0
-            selected.update(islice(engines, first, first + room))
+            engines = self._engines_by_prefix.get(prefix_hash, ())
+            free_places = limit - len(selected)
+            first = (
+                draw(len(engines) - free_places + 1)
+                if len(engines) > free_places
+                else 0
+            )
+            selected.update(islice(engines, first, first + free_places))
             if len(selected) >= limit:
                 break
         return selected
@@ -201,12 +207,15 @@
             self._evict(cache, target_id, prefix_hash)
 
     def record_store_transfer(self, now: float, note: PromptNote) -> None:
-        """Record the transfer of a prefix to a KV store, and queue a note of it."""
+        """Record that a KV store received a prefix, and queue a note of the transfer."""
         self._record_stored(now, note)
         self._queue_note(note)
 
     def apply_note(self, now: float, note: PromptNote, capacity: int | None) -> None:
-        """Apply a note of another router; ``capacity`` is None for a KV store."""
+        """Apply a note of another router.
+
+        ``capacity`` is the size of the engine's cache in tokens, None for a KV store.
+        """
         if capacity is None:
             self._record_stored(now, note)
         else:
@@ -247,9 +256,9 @@
         cache.entries[note.prompt] = _CacheEntry(
             note.tokens, note.is_ready or was_ready, now
         )
-        self._holders.setdefault(note.prompt, set()).add(note.holder)
+        self._engines_by_prefix.setdefault(note.prompt, set()).add(note.holder)
         if note.own_tokens:
-            # The unshared rest of a prompt gives no cache hits, but takes up space.
+            # The unshared end of a prompt gives no cache hits, but takes up space.
             self._unshared_count += 1
             cache.entries[-self._unshared_count] = _CacheEntry(note.own_tokens, False)
             cache.tokens += note.own_tokens
@@ -261,8 +270,8 @@
         self._remove_holder(prefix_hash, holder)
 
     def _remove_holder(self, prefix_hash: int, holder: str) -> None:
-        holders = self._holders.get(prefix_hash)
+        holders = self._engines_by_prefix.get(prefix_hash)
         if holders is not None:
             holders.discard(holder)
             if not holders:
-                del self._holders[prefix_hash]
+                del self._engines_by_prefix[prefix_hash]
--- a/berylnotch/placement/chain.py
+++ b/berylnotch/placement/chain.py
@@ -9,7 +9,7 @@
 #: Bytes in one hash of a chain.
 HASH_BYTES = 16
 
-#: Prompt bytes in one block, unless the settings set another size.
+#: Prompt bytes in one block, unless the settings specify another size.
 DEFAULT_BLOCK_BYTES = 4096
 
 _SEED_LABEL = b"berylnotch chain 1"
--- a/berylnotch/placement/costs.py
+++ b/berylnotch/placement/costs.py
@@ -14,8 +14,8 @@
 MIN_TOKEN_MS, MAX_TOKEN_MS = 1 / 400, 1 / 5
 MAX_BASE_MS = 500.0
 
-#: Factor on the weight of earlier measurements at each new one, so that the estimate
-#: reflects about the last 50.
+#: Factor by which each new measurement reduces the weight of the earlier ones, so that
+#: the estimate reflects about the last 50 measurements.
 WEIGHT_DECAY = 0.98
 
 #: Weight of each initial data point in the fit, relative to one measurement, and the
@@ -27,23 +27,24 @@
 OUTLIER_FACTOR = 4.0
 
 #: Prompt tokens below which a measurement is ignored, since the prefill is too small a
-#: part of it.
+#: part of the time to first token.
 MIN_TOKENS = 200
 
 #: Initial estimates of the share of the prefill queue for which a request waits. The
-#: share of urgent requests is lower, since engines admit them before the others. The
-#: second value is also the upper bound of a measured share, the third the lower bound.
+#: share of urgent requests is lower, since engines admit them before the others.
+#: ``INITIAL_QUEUE_SHARE`` is also the upper bound of a measured share, and
+#: ``MIN_QUEUE_SHARE`` its lower bound.
 INITIAL_URGENT_QUEUE_SHARE = 0.3
 INITIAL_QUEUE_SHARE = 1.0
 MIN_QUEUE_SHARE = 0.03
 
-#: Queue in ms below which the wait of a request is ignored by the estimate of the queue
-#: share, and the weight of a new measurement in this moving average.
+#: Prefill queue in ms below which the wait of a request is not used to estimate the
+#: queue share, and the weight of a new measurement in the moving average of the share.
 MIN_QUEUE_MS = 50.0
 QUEUE_SHARE_SMOOTHING = 0.1
 
-#: Factor by which the largest overshoot of the expected time to first token decays with
-#: each answer: half of it is left after about 70 answers in time.
+#: Factor by which each answer reduces the recorded excess over the expected time to
+#: first token. About 70 answers that take no longer than expected halve the excess.
 OVERSHOOT_DECAY = 0.99
 
 #: Tokens per ms that an engine copies from another engine, or from a KV store, if the
@@ -80,13 +81,13 @@
     store_tokens_per_ms: float = DEFAULT_STORE_TOKENS_PER_MS
 
     def prefill_ms(self, tokens: int, load: int) -> float:
-        """Return the time in ms to prefill tokens beside ``load`` running requests."""
+        """Return the time in ms to prefill tokens while ``load`` other requests run."""
         return tokens * self.token_ms * (1 + LOAD_SLOWDOWN * load)
 
     def copy_ms(self, tokens: int, is_far: bool) -> float:
         """Return the time in ms to copy cached tokens from another engine.
 
-        If ``is_far``, that engine is in another failure domain.
+        ``is_far`` is true if the other engine is in another failure domain.
         """
         return (
             tokens / self.copy_tokens_per_ms * (CROSS_DOMAIN_FACTOR if is_far else 1.0)
@@ -104,8 +105,9 @@
 class PrefillEstimator:
     """Linear fit of the time to first token over the prompt tokens, for one service.
 
-    The weight of older measurements decays exponentially, so that the fit follows a
-    change of the engines.
+    The weight of older measurements decays exponentially, so that the fit follows
+    changes in the engines' speed. In the sums, x is the number of prompt tokens and y
+    the time to first token in ms.
     """
 
     _sum_weight: float = 0.0
@@ -132,10 +134,10 @@
         """Largest recent excess over the expected time to first token, in ms."""
         return self._overshoot_ms
 
-    def record_overshoot(self, expected_ms: float, took_ms: float) -> None:
+    def record_overshoot(self, expected_ms: float, first_token_ms: float) -> None:
         """Record an expected and a measured time to first token, in ms."""
         decayed_ms = OVERSHOOT_DECAY * self._overshoot_ms
-        self._overshoot_ms = max(decayed_ms, took_ms - expected_ms)
+        self._overshoot_ms = max(decayed_ms, first_token_ms - expected_ms)
 
     def queue_share(self, priority: int, is_urgent: bool) -> float:
         """Return the share of the prefill queue that delays a priority's requests."""
@@ -148,7 +150,7 @@
         is_urgent: bool,
         tokens: int,
         queue_ms: float,
-        took_ms: float,
+        first_token_ms: float,
     ) -> None:
         """Record the time to first token of a request that was queued.
 
@@ -163,31 +165,31 @@
         queue_ms : float
             Time in ms to prefill all prompts that were queued before the request, in
             order of arrival.
-        took_ms : float
+        first_token_ms : float
             Time to first token, in ms.
         """
         if queue_ms < MIN_QUEUE_MS:
             return
-        waited_ms = took_ms - self.base_ms - tokens * self.token_ms
+        waited_ms = first_token_ms - self.base_ms - tokens * self.token_ms
         share = min(INITIAL_QUEUE_SHARE, max(MIN_QUEUE_SHARE, waited_ms / queue_ms))
         estimate = self.queue_share(priority, is_urgent)
         self._queue_shares[priority] = (
             estimate + (share - estimate) * QUEUE_SHARE_SMOOTHING
         )
 
-    def record_prefill(self, tokens: int, took_ms: float) -> None:
+    def record_prefill(self, tokens: int, first_token_ms: float) -> None:
         """Record a time to first token in ms after a prefill of ``tokens``."""
-        if tokens < MIN_TOKENS or took_ms <= 0:
+        if tokens < MIN_TOKENS or first_token_ms <= 0:
             return
         # A request that was queued behind others says little about the prefill time,
         # so its measurement is clipped.
         estimate_ms = self.base_ms + tokens * self.token_ms
-        took_ms = min(took_ms, OUTLIER_FACTOR * estimate_ms)
+        first_token_ms = min(first_token_ms, OUTLIER_FACTOR * estimate_ms)
         self._sum_weight = WEIGHT_DECAY * self._sum_weight + 1
         self._sum_x = WEIGHT_DECAY * self._sum_x + tokens
-        self._sum_y = WEIGHT_DECAY * self._sum_y + took_ms
+        self._sum_y = WEIGHT_DECAY * self._sum_y + first_token_ms
         self._sum_xx = WEIGHT_DECAY * self._sum_xx + tokens * tokens
-        self._sum_xy = WEIGHT_DECAY * self._sum_xy + tokens * took_ms
+        self._sum_xy = WEIGHT_DECAY * self._sum_xy + tokens * first_token_ms
         self._refit()
 
     def _refit(self) -> None:
--- a/berylnotch/placement/hints.py
+++ b/berylnotch/placement/hints.py
@@ -17,7 +17,7 @@
     target : str
         Name of the engine.
     incarnation : str
-        Process that sent the event.
+        Identity of the process that sent the event.
     sequence : int
         Sequence number in this incarnation's stream, counted from 1.
     stored, removed : tuple of bytes
@@ -38,10 +38,10 @@
     Parameters
     ----------
     confirmed : int
-        Blocks reported by events or implied by this router's requests, with no gap in
-        the event stream since.
+        Blocks reported by events or implied by this router's requests after the latest
+        gap in the event stream.
     likely : int
-        Blocks that were reported before or after a gap; at least ``confirmed``.
+        Blocks reported or implied before or after that gap; at least ``confirmed``.
     limit : int
         Upper bound: the index of the first block that is known to be evicted, or the
         length of the chain.
@@ -56,19 +56,19 @@
 class _Entry:
     is_stored: bool
     updated_at: float
-    gaps: int
+    gap_count: int
 
 
 @define
 class _Stream:
     incarnation: str
     sequence: int = 0
-    gaps: int = 0
+    gap_count: int = 0
     entries: OrderedDict[bytes, _Entry] = field(factory=OrderedDict)
 
 
 class CacheHints:
-    """Cached prefixes of each engine, from events that may be late or missing.
+    """Cached prefixes of each engine, derived from events that may be late or missing.
 
     Entries belong to an incarnation of an engine; a new incarnation drops all of
     them. A gap in the sequence numbers may hide the eviction of any entry, so no
@@ -79,7 +79,8 @@
     Parameters
     ----------
     max_entries : int, default=16384
-        Entries kept for each engine; the least recently updated are dropped.
+        Maximum number of entries kept for each engine; the least recently updated
+        entries are dropped.
     ttl_s : float, default=30.0
         Age in seconds after which an entry is no longer used.
     """
@@ -88,7 +89,7 @@
         self._max_entries = max_entries
         self._ttl_s = ttl_s
         self._streams: dict[str, _Stream] = {}
-        self._retired: dict[str, OrderedDict[str, None]] = {}
+        self._ended: dict[str, OrderedDict[str, None]] = {}
 
     def apply(self, now: float, event: CacheEvent) -> None:
         """Apply an event; ignore duplicates and events of ended incarnations."""
@@ -96,12 +97,12 @@
         if stream is None or event.sequence <= stream.sequence:
             return
         if event.sequence != stream.sequence + 1:
-            stream.gaps += 1
+            stream.gap_count += 1
         stream.sequence = event.sequence
         for prefix in event.stored:
-            self._put_entry(stream, prefix, _Entry(True, now, stream.gaps))
+            self._put_entry(stream, prefix, _Entry(True, now, stream.gap_count))
         for prefix in event.removed:
-            self._put_entry(stream, prefix, _Entry(False, now, stream.gaps))
+            self._put_entry(stream, prefix, _Entry(False, now, stream.gap_count))
 
     def record_request(
         self, now: float, target: str, incarnation: str, chain: Iterable[bytes]
@@ -116,14 +117,14 @@
             stream = _Stream(incarnation)
             self._streams[target] = stream
         for prefix in chain:
-            self._put_entry(stream, prefix, _Entry(True, now, stream.gaps))
+            self._put_entry(stream, prefix, _Entry(True, now, stream.gap_count))
 
     def forget(self, target: str) -> None:
         """Drop an engine's entries, for instance after the loss of its process."""
         stream = self._streams.get(target)
         if stream is not None:
             stream.entries.clear()
-            stream.gaps += 1
+            stream.gap_count += 1
 
     def cached_blocks(
         self, now: float, target: str, incarnation: str, chain: tuple[bytes, ...]
@@ -135,12 +136,12 @@
         if not _may_be_cached(stream, chain):
             return Hint(0, 0, len(chain))
         confirmed, likely = 0, 0
-        oldest = now - self._ttl_s
+        min_updated_at = now - self._ttl_s
         for index, prefix in enumerate(chain):
             entry = stream.entries.get(prefix)
-            if entry is None or entry.updated_at < oldest:
+            if entry is None or entry.updated_at < min_updated_at:
                 continue
-            is_confirmed = entry.gaps == stream.gaps
+            is_confirmed = entry.gap_count == stream.gap_count
             if entry.is_stored:
                 likely = index + 1
                 confirmed = likely if is_confirmed else confirmed
@@ -151,7 +152,7 @@
     def newest_cached_blocks(
         self, now: float, target: str, chain: tuple[bytes, ...]
     ) -> Hint:
-        """Return how much of a chain an engine's newest incarnation caches."""
+        """Return how much of a chain an engine's newest incarnation probably caches."""
         stream = self._streams.get(target)
         if stream is None:
             return Hint(0, 0, len(chain))
@@ -162,19 +163,19 @@
         stream = self._streams.get(target)
         if stream is not None and stream.incarnation == incarnation:
             return stream
-        if incarnation in self._retired.get(target, ()):
+        if incarnation in self._ended.get(target, ()):
             return None
         if stream is not None and stream.sequence:
-            self._retire(target, stream.incarnation)
+            self._add_ended(target, stream.incarnation)
         stream = _Stream(incarnation)
         self._streams[target] = stream
         return stream
 
-    def _retire(self, target: str, incarnation: str) -> None:
-        retired = self._retired.setdefault(target, OrderedDict())
-        retired[incarnation] = None
-        while len(retired) > _MAX_RETIRED:
-            retired.popitem(last=False)
+    def _add_ended(self, target: str, incarnation: str) -> None:
+        ended = self._ended.setdefault(target, OrderedDict())
+        ended[incarnation] = None
+        while len(ended) > _MAX_ENDED_INCARNATIONS:
+            ended.popitem(last=False)
 
     def _put_entry(self, stream: _Stream, prefix: bytes, entry: _Entry) -> None:
         stream.entries[prefix] = entry
@@ -198,4 +199,4 @@
 
 #: Ended incarnations that are remembered for each engine, so that their late events
 #: are ignored.
-_MAX_RETIRED = 16
+_MAX_ENDED_INCARNATIONS = 16
--- a/berylnotch/placement/homes.py
+++ b/berylnotch/placement/homes.py
@@ -1,6 +1,6 @@
 """Consistent-hash ring that finds the homes of a prefix among many targets.
 
-The homes of a prefix are the targets that are preferred for it.
+The homes of a prefix are the targets that are preferred for requests with this prefix.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 _POINT_BITS = 61
 _INDEX_BITS = 16
 
-#: Distance on the ring between two groups of homes.
+#: Distance on the ring between the start positions of successive groups of homes.
 _GROUP_STEP = 0x9E3779B97F4A7C15
 
 
@@ -26,15 +26,15 @@
 
     Rendezvous hashing computes a weight for each target. With hundreds of targets this
     takes too long, so the ring first selects the few targets that are ranked. Small
-    services use rendezvous hashing alone. Removing a target reassigns only its own
-    prefixes.
+    services use rendezvous hashing alone. Removing a target reassigns only the
+    prefixes that had this target as a home.
 
     Parameters
     ----------
     names : tuple of str
         Names of a service's targets, at most 65,536.
     count : int
-        Targets returned for a prefix.
+        Number of targets returned for a prefix.
     """
 
     def __init__(self, names: tuple[str, ...], count: int) -> None:
--- a/berylnotch/placement/hot.py
+++ b/berylnotch/placement/hot.py
@@ -1,4 +1,4 @@
-"""Request rates of prefixes, from which the number of their homes is derived."""
+"""Request rates of prefixes, which determine the number of homes of each prefix."""
 
 from __future__ import annotations
 
@@ -83,17 +83,18 @@
         Returns
         -------
         tuple of Level
-            Empty until the rates are usable; ranking then uses its default level.
+            Empty during the warm-up of the rates, when the ranking uses its default
+            level.
         """
         if self._started_at is None:
             return ()
-        age = now - self._started_at
-        if age < self._settings.rate_warmup_s:
+        age_s = now - self._started_at
+        if age_s < self._settings.rate_warmup_s:
             return ()
         # The effective window is shorter than the time constant at first; without
         # this correction, rates would be too low in the first seconds.
         time_constant_s = self._settings.rate_time_constant_s
-        window_s = time_constant_s * -math.expm1(-age / time_constant_s)
+        window_s = time_constant_s * -math.expm1(-age_s / time_constant_s)
         retention_s = (
             self._settings.over_share_retention_s
             if above_share
--- a/berylnotch/placement/placer.py
+++ b/berylnotch/placement/placer.py
@@ -1,4 +1,4 @@
-"""Placement of one router's requests: prefix chains, ranking and learned state."""
+"""Selection of targets for a router's requests by prefix chains and observed state."""
 
 from __future__ import annotations
 
@@ -140,8 +140,8 @@
         Returns
         -------
         tuple of str
-            The homes of the shallowest level that has at most ``max_candidates`` of
-            them. Prompts without a full block get targets in rotation.
+            The homes of the shallowest level that has at most ``max_candidates`` homes.
+            Prompts without a full block get targets in rotation.
         """
         count = self._settings.max_candidates
         if len(names) <= count:
@@ -160,8 +160,8 @@
         fitting_level = next((level for level in levels if level.homes <= count), None)
         if fitting_level is not None:
             return ring.homes(chain[fitting_level.depth - 1])
-        # Even the whole prompt has more homes than one shortlist holds, so its
-        # requests rotate over several groups of homes.
+        # Even the whole prompt has more homes than one shortlist holds, so the
+        # requests with this prompt rotate over several groups of homes.
         self._rotation += 1
         group = self._rotation % -(-levels[-1].homes // count)
         return ring.homes(chain[-1], group)
@@ -173,7 +173,7 @@
 
         An engine without a version is loading weights and is not ranked. During a
         rollout, engines of both versions serve. The chain depends on the version, so
-        blocks of one version never count as cached under the other.
+        blocks of one version never count as cached for the other.
         """
         versions = {c.weights for c in candidates if c.weights and c.is_usable}
         if request.weights:
@@ -204,7 +204,7 @@
     def _levels(
         self, now: float, chain: tuple[bytes, ...], priority: int
     ) -> tuple[Level, ...]:
-        """Return the levels; a ranking reuses those of the preceding shortlist."""
+        """Return the levels of a chain; a ranking reuses those of its shortlist."""
         cached = self._cached_levels
         if cached is None or cached.now != now or cached.chain is not chain:
             levels = self._hot.levels(now, chain, priority > EVEN_PRIORITY)
--- a/berylnotch/placement/rank.py
+++ b/berylnotch/placement/rank.py
@@ -35,13 +35,13 @@
     Parameters
     ----------
     settings : PlacementSettings
-        Costs, confidence factors and the default home level.
+        Costs, confidence factors and the default home depth.
     query : Query
         Request to be placed.
     candidates : sequence of Candidate
         Targets of the request's service.
     hints : CacheHints, optional
-        Cache contents estimated from events; without it, only affinity counts.
+        Cache contents estimated from events; without them, only affinity counts.
 
     Returns
     -------
@@ -73,17 +73,19 @@
     Each level of the chain selects its homes among those of the level above,
     so a prompt's homes are among the homes of each of its prefixes.
     """
-    members = list(names)
+    remaining_names = list(names)
     expected: dict[str, int] = {}
     depth = 0
     for level in query.levels or _default_levels(settings, len(query.chain)):
-        if level.homes < len(members):
-            expected.update(dict.fromkeys(members, depth))
-            members = top(query.chain[level.depth - 1], members, level.homes)
+        if level.homes < len(remaining_names):
+            expected.update(dict.fromkeys(remaining_names, depth))
+            remaining_names = top(
+                query.chain[level.depth - 1], remaining_names, level.homes
+            )
         depth = level.depth
-    if len(members) == 1:
+    if len(remaining_names) == 1:
         depth = len(query.chain)
-    expected.update(dict.fromkeys(members, depth))
+    expected.update(dict.fromkeys(remaining_names, depth))
     return expected
 
 
@@ -102,7 +104,7 @@
 def _tie_break(query: Query, candidate: Candidate) -> tuple[int, int, str]:
     """Return the sort key of targets with equal scores.
 
-    It spreads prompts over the targets by hash, and requests without a chain by load.
+    Prompts are spread over the targets by hash, and requests without a chain by load.
     """
     key = prefix_key(query.chain[-1]) if query.chain else 0
     hash_weight = weight(key, name_hash(candidate.name)) if query.chain else 0
--- a/berylnotch/placement/rendezvous.py
+++ b/berylnotch/placement/rendezvous.py
@@ -34,7 +34,7 @@
 
 
 def top(prefix: bytes, names: Iterable[str], count: int) -> list[str]:
-    """Return the ``count`` best names for a prefix, best first.
+    """Return the ``count`` names with the lowest weights for a prefix, lowest first.
 
     Removing a name reassigns only the prefixes that were assigned to it.
     """
--- a/berylnotch/placement/settings.py
+++ b/berylnotch/placement/settings.py
@@ -14,7 +14,8 @@
     Parameters
     ----------
     piece_tokens : int, default=1024
-        Tokens in one block of an engine's KV cache. Must match the engines.
+        Tokens in one block of an engine's KV cache. Must match the engines'
+        block size.
     bytes_per_token : int, default=4
         Assumed prompt bytes per token, since the router does not tokenise. Larger
         values make affinity coarser, smaller values make it finer.
@@ -25,19 +26,20 @@
         Time in seconds for which an engine keeps a prefix that is not used again.
         Higher values give a prefix more homes.
     over_share_retention_s : float, default=4.0
-        The same time for an organisation above its share; it is shorter, so that the
-        copies of its prefixes do not fill the caches of other organisations.
+        Retention time in seconds for the prefixes of an organisation above its share.
+        It is shorter, so that copies of these prefixes do not displace the prefixes of
+        other organisations from the caches.
     rate_time_constant_s : float, default=10.0
         Time constant in seconds of the exponential decay of prefix rates.
     rate_warmup_s : float, default=3.0
         Time in seconds after the first request during which rates are not used.
     max_rates : int, default=32768
-        Prefixes for which a rate is kept.
+        Maximum number of prefixes for which a rate is kept.
     max_new_rates : int, default=8
-        New prefixes for which one request may add a rate.
+        Maximum number of new prefixes for which one request adds a rate.
     routers_per_organisation : int, default=3
         Routers that share an organisation's traffic; a router's own rates are
-        multiplied by it.
+        multiplied by this number.
     prefill_tokens_per_s : float, default=8000.0
         Prefill rate of an engine, in tokens per second. Higher values favour short
         queues over cached prefixes.
@@ -56,13 +58,15 @@
     import_overhead_ms : float, default=20.0
         Fixed time of one import in ms.
     max_hints : int, default=16384
-        Prefixes kept for each engine from cache events and this router's requests.
+        Maximum number of prefixes kept for each engine, known from cache events and
+        this router's requests.
     hint_ttl_s : float, default=30.0
-        Age in seconds after which such an entry is no longer used.
+        Age in seconds after which a prefix kept for an engine is no longer used.
     cross_domain_ms : float, default=3.0
         Penalty in ms for a target in another failure domain.
     max_candidates : int, default=8
-        Targets that are scored for one request. The limit bounds the decision time.
+        Maximum number of targets scored for one request. The limit bounds the
+        decision time.
     """
 
     piece_tokens: int = 1024
