--- a/berylnotch/placement/cache_model.py
+++ b/berylnotch/placement/cache_model.py
@@ -207,7 +207,7 @@
             self._evict(cache, target_id, prefix_hash)
 
     def record_store_transfer(self, now: float, note: PromptNote) -> None:
-        """Record that a KV store received a prefix, and queue a note of the transfer."""
+        """Record that a KV store received a prefix, and queue a note about it."""
         self._record_stored(now, note)
         self._queue_note(note)
 
