--- a/berylnotch/routing/__init__.py
+++ b/berylnotch/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet configurations: routes, services, organisations and limits."""
+"""Fleet configurations with their routes, services, organisations and limits."""
