--- a/berylnotch/membership/__init__.py
+++ b/berylnotch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs and targets may get new work."""
+"""Observation of VMs and targets, and selection of those that may get new work."""
--- a/berylnotch/membership/addresses.py
+++ b/berylnotch/membership/addresses.py
@@ -19,7 +19,7 @@
 
 @frozen
 class AddressAnswer:
-    """Addresses in order of preference, and the seconds for which to keep them."""
+    """Addresses in order of preference, and how long a caller keeps them in seconds."""
 
     addresses: tuple[str, ...]
     keep_s: int
@@ -49,7 +49,7 @@
     failure_domain : str
         Failure domain of the caller; empty if not known.
     settings : MembershipSettings
-        Gives the number of addresses.
+        Settings with the number of addresses in an answer.
     turn : int, default=0
         Number of earlier answers of this router. It rotates the addresses, so that the
         callers of a large organisation spread over all its VMs.
@@ -73,13 +73,14 @@
 ) -> int:
     """Return the number of VMs that serve an organisation.
 
-    It is proportional to the organisation's part of all rates, with a lower bound.
+    The number is proportional to the organisation's share of the sum of all rates,
+    with a lower bound.
     """
-    found = fleet.organisations.get(organisation)
-    if found is None:
+    configured = fleet.organisations.get(organisation)
+    if configured is None:
         return settings.answer_vms
     total_rate = sum(other.rate for other in fleet.organisations.values())
-    return max(settings.answer_vms, math.ceil(vm_count * found.rate / total_rate))
+    return max(settings.answer_vms, math.ceil(vm_count * configured.rate / total_rate))
 
 
 def _interleave_failure_domains(vms: list[Vm]) -> list[Vm]:
--- a/berylnotch/membership/announced_weights.py
+++ b/berylnotch/membership/announced_weights.py
@@ -24,7 +24,7 @@
 class AnnouncedWeights:
     """Announced versions of each model, with the time of each announcement.
 
-    Times are in seconds, on any one clock.
+    All times are in seconds on the same clock.
     """
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
         return now - min(newer_times) if newer_times else 0.0
 
     def with_ages(self, now: float) -> tuple[NamedWeights, ...]:
-        """Return all kept versions with their ages."""
+        """Return all kept versions with the time since each announcement."""
         return tuple(
             NamedWeights(model, version, int((now - announced_at) * 1000))
             for model, times in sorted(self._announced_at.items())
--- a/berylnotch/membership/crashes.py
+++ b/berylnotch/membership/crashes.py
@@ -36,9 +36,9 @@
 
 
 def checksum_fingerprint(organisation: str, body: bytes) -> bytes:
-    """Return a fingerprint of two checksums and the length of a request.
+    """Return a fingerprint made of two checksums and the length of a request.
 
-    It makes accidental collisions unlikely, not deliberate ones. A caller who
+    Accidental collisions are unlikely; deliberate ones are possible. A caller who
     constructs two bodies with the same fingerprint only causes refusals of requests
     of the same organisation.
     """
@@ -55,7 +55,7 @@
     reported : tuple of bytes
         Requests for which the loss is reported to other routers.
     blamed : tuple of bytes
-        Those of the reported requests that are refused from now on.
+        Reported requests that are refused from now on.
     """
 
     reported: tuple[bytes, ...] = ()
@@ -86,14 +86,14 @@
 
     Every request that ran on a lost target becomes a suspect. If a second target is
     lost and a single suspect ran on it, that request is blamed. If several suspects
-    ran on it, the loss is ambiguous and blames none of them. `avoid` then keeps the
-    suspects on different targets, so that the next loss identifies the cause. A
-    request that runs to its end is cleared.
+    ran on it, the loss is ambiguous and blames none of them. `targets_to_avoid` then
+    keeps the suspects on different targets, so that the next loss identifies the cause.
+    A request that runs to its end is cleared.
 
     Parameters
     ----------
     settings : MembershipSettings
-        Limit of losses, retention time and number of suspicions.
+        Limit of losses, retention time and maximum number of suspicions.
     """
 
     def __init__(self, settings: MembershipSettings) -> None:
@@ -145,7 +145,8 @@
         target : str
             Name of the target.
         requests : iterable of bytes
-            Requests that the target ran, besides those recorded by `began`.
+            Requests that the target ran, besides those that
+            `on_request_started` recorded.
         peer_losses : callable, optional
             Returns the targets that other routers reported as lost with a request.
 
@@ -179,9 +180,9 @@
         """Return the targets that run another suspect.
 
         The result is empty if the request is not a suspect itself. If no other target
-        is available, the request should run on one of these rather than fail. It may
-        be innocent, and the loss of a target with several suspects blames none of
-        them.
+        is available, the request should run on one of these rather than fail. The
+        request may be harmless, and the loss of a target with several suspects blames
+        none of them.
         """
         if not self._is_suspect(now, request):
             return frozenset()
@@ -206,7 +207,7 @@
 
         ``peer_losses`` is the set of targets that other routers reported as lost with
         the request, or a callable that returns it. These losses do not count after
-        the request ran to its end here.
+        the request ran to its end on a target of this router.
         """
         peer_targets = (
             peer_losses(request)
--- a/berylnotch/membership/ejection.py
+++ b/berylnotch/membership/ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection of a target after consecutive failures, and its probes."""
+"""Outlier ejection of a target after consecutive failures, and probes of the target."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     failures : int
         Number of consecutive failures.
     ejected_at : float
-        Start of the latest ejection in seconds.
+        Time in seconds at which the latest ejection began.
     probe_allowed_at : float
         Time in seconds from which the target may be probed.
     duration_s : float
@@ -67,7 +67,7 @@
         self.clear()
 
     def on_failure(self, now: float, number: int) -> None:
-        """Count a failure, and eject the target if it is due or a probe failed."""
+        """Count a failure; eject the target at the limit or after a failed probe."""
         self.failures += 1
         is_probe = self.probe_number == number
         if is_probe:
--- a/berylnotch/membership/lifecycle.py
+++ b/berylnotch/membership/lifecycle.py
@@ -1,4 +1,4 @@
-"""Whether a target may get new work, from all sources of its state."""
+"""Decision whether a target may get new work, based on all sources of its state."""
 
 from __future__ import annotations
 
--- a/berylnotch/membership/settings.py
+++ b/berylnotch/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of target health checks, address answers and crash detection."""
+"""Settings of target ejection, load reports, address answers and crash detection."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen
 class MembershipSettings:
-    """Settings of target ejection, address answers and crash detection.
+    """Settings of target ejection, load reports, address answers and crash detection.
 
     Parameters
     ----------
@@ -26,9 +26,10 @@
         Number of addresses in one address answer. A higher number spreads an
         organisation's requests, and so its token grants, over more routers.
     crash_limit : int, default=2
-        Number of engines that are lost with the same request before it is refused.
+        Number of engines that are lost with the same request before the request is
+        refused.
     crash_retention_s : float, default=3600.0
-        Seconds for which a suspicion is kept after its latest loss.
+        Seconds for which a suspicion is kept after the latest loss of a target.
     max_suspicions : int, default=4096
         Largest number of suspicions that are kept.
     """
--- a/berylnotch/membership/targets.py
+++ b/berylnotch/membership/targets.py
@@ -26,11 +26,11 @@
     incarnation : str
         Identity of the target's running process.
     measured_at : float
-        Monotonic time of the router in seconds at which the report was valid.
+        Router's monotonic time in seconds for which the report is valid.
     queue_wait_s : float
-        Seconds of work that were queued at that time.
+        Seconds of work that were queued at ``measured_at``.
     running : int
-        Number of requests that ran at that time.
+        Number of requests that ran at ``measured_at``.
     leaving : bool
         Whether the target signals that it is leaving.
     """
@@ -78,7 +78,7 @@
         self._settings = settings
         self._records: dict[str, _TargetRecord] = {}
         self._last_number = 0
-        #: Targets that were ejected and may still be.
+        #: Targets that were ejected and whose ejection may not have ended.
         self._ejected_targets: set[str] = set()
         self._fleet: Fleet | None = None
         self._names_by_service: dict[str, tuple[str, ...]] = {}
@@ -100,7 +100,7 @@
         )
 
     def finish(self, now: float, dispatch: Dispatch, ok: bool) -> None:
-        """Record a request's end; ``ok`` is false if the target failed it."""
+        """Record a request's end; ``ok`` is false if the target failed to serve it."""
         record = self._get_record(dispatch.target)
         record.awaiting_first_token.pop(dispatch.number, None)
         if record.dispatches.pop(dispatch.number, None) is None:
@@ -221,8 +221,9 @@
     def _list_ejected(self, now: float, names: tuple[str, ...]) -> frozenset[str]:
         """Return the targets of a service that are ejected now.
 
-        They are at most a fraction of the service's targets. Beyond it, the targets
-        that may be probed first are not ejected.
+        The result contains at most ``max_ejected_fraction`` of the service's targets.
+        If more are blocked, those that may be probed first are left out and get
+        requests.
         """
         records = self._records
         if not self._ejected_targets:
@@ -279,9 +280,9 @@
         token yet. Without a recent report, all requests without a first token count.
         """
         report = record.report
-        unstarted = record.awaiting_first_token.values()
+        awaiting = record.awaiting_first_token.values()
         if report is None or now - report.measured_at > self._settings.report_max_age_s:
-            return sum(d.work_s for d in unstarted)
+            return sum(d.work_s for d in awaiting)
         remaining_s = max(0.0, report.queue_wait_s - (now - report.measured_at))
-        sent_later = (d.work_s for d in unstarted if d.sent_at >= report.measured_at)
+        sent_later = (d.work_s for d in awaiting if d.sent_at >= report.measured_at)
         return remaining_s + sum(sent_later)
