--- a/berylnotch/orders/__init__.py
+++ b/berylnotch/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines, protected by fencing tokens: weights, adapters, roles."""
+"""Orders to engines for weights, adapters and roles, protected by fencing tokens."""
--- a/berylnotch/orders/rolling.py
+++ b/berylnotch/orders/rolling.py
@@ -12,21 +12,23 @@
 #: the service is not busy. With more concurrent loads each load takes longer.
 MAX_LOADING_FRACTION = 0.4
 
-#: Largest fraction that loads at the same time while the service is busy, since an
-#: engine serves with a cold cache for a while after its load.
+#: Largest fraction of a service's engines that loads weights at the same time while the
+#: service is busy. The fraction is smaller, because an engine serves with a cold cache
+#: for a while after it has loaded weights.
 MAX_BUSY_LOADING_FRACTION = 0.2
 
-#: Mean number of in-flight requests for each serving engine at which a service counts
-#: as busy, and the same as a fraction of an engine's slots. The larger number applies.
+#: Mean number of in-flight requests per serving engine at which a service counts as
+#: busy, as a number and as a fraction of an engine's slots. The larger number applies.
 BUSY_REQUESTS, BUSY_SLOTS_FRACTION = 4.0, 0.25
 
-#: Mean number of in-flight requests for each serving engine, and the same as a
-#: fraction of an engine's slots, at which no further engine begins to load while
-#: another one loads. The larger number applies.
+#: Mean number of in-flight requests per serving engine at which no further engine
+#: begins to load while another engine loads, as a number and as a fraction of an
+#: engine's slots. The larger number applies.
 FULL_REQUESTS, FULL_SLOTS_FRACTION = 14.0, 0.5
 
-#: Fraction of the time that operators allow on older weights after which an engine
-#: loads regardless of its load; the rest of that time is for the loads themselves.
+#: Fraction of the time for which operators allow superseded weights. When it has
+#: passed, engines load regardless of the service's in-flight requests; the rest of the
+#: allowed time is left for the loads.
 URGENT_SHARE = 0.4
 
 
@@ -61,18 +63,18 @@
     desired_versions : mapping of str to int
         Newest announced version of each model.
     loading : collection of str
-        Targets that load now.
+        Targets that are loading weights.
     unavailable : collection of str
         Targets that back off after a failure or cannot be reached.
     in_flight : mapping of str to int
         Number of in-flight requests at each target. An idle engine loads sooner,
         because an engine finishes its requests before it loads.
     outdated_s : callable
-        Returns the seconds since a model's version was superseded by a newer one, 0
-        if it was not.
+        Returns the seconds since a newer version than the given one was announced
+        for a model, 0 if none was.
     overdue_after_s : float
         Seconds after which engines with superseded weights load regardless of the
-        service's load.
+        service's in-flight requests.
     """
     loads: list[WeightsLoad] = []
     by_service: dict[str, list[ListedTarget]] = {}
@@ -107,13 +109,16 @@
     healthy = [e for e in engines if e.target_id not in unavailable]
     loading_count = sum(engine.target_id in loading for engine in healthy)
     serving_count = max(1, len(healthy) - loading_count)
-    requests = (
+    requests_per_engine = (
         sum(in_flight.get(engine.target_id, 0) for engine in healthy) / serving_count
     )
     slots = max((engine.slots for engine in healthy), default=0)
-    if requests >= max(FULL_REQUESTS, FULL_SLOTS_FRACTION * slots) and loading_count:
+    if (
+        requests_per_engine >= max(FULL_REQUESTS, FULL_SLOTS_FRACTION * slots)
+        and loading_count
+    ):
         return 0
-    is_busy = requests >= max(BUSY_REQUESTS, BUSY_SLOTS_FRACTION * slots)
+    is_busy = requests_per_engine >= max(BUSY_REQUESTS, BUSY_SLOTS_FRACTION * slots)
     fraction = MAX_BUSY_LOADING_FRACTION if is_busy else MAX_LOADING_FRACTION
     max_loading = max(1, int(len(healthy) * fraction))
     if len(healthy) > 1:
