--- a/berylnotch/group/changes.py
+++ b/berylnotch/group/changes.py
@@ -21,7 +21,7 @@
     own_replica : str
         Replica id of the leader.
     members : Members
-        Membership in force.
+        Current membership.
     candidates : mapping of str to JoinRequest
         Unexpired requests to join, by replica id.
     silence_s : mapping of str to float
@@ -121,7 +121,7 @@
 
 
 def _can_remove(view: GroupView, member: Member) -> bool:
-    """Tell whether a majority of the remaining voters answers.
+    """Tell whether a majority of the voters that remain without the member answers.
 
     A learner can always be removed.
     """
@@ -138,5 +138,6 @@
     return Members(tuple(m for m in members.members if m.replica != member.replica))
 
 
-#: Seconds without an answer below which a voter counts as answering: one lease.
+#: Seconds without an answer below which a voter counts as answering. The value is the
+#: duration of one lease.
 _MAX_ANSWERING_SILENCE_S = 0.8
--- a/berylnotch/group/messages.py
+++ b/berylnotch/group/messages.py
@@ -38,8 +38,8 @@
     """In-flight work of one router, or of all routers, at a target.
 
     ``unread`` is the estimated number of prompt tokens that the target has not
-    prefilled yet. ``long`` is the number of long requests, which only the reports of
-    routers contain.
+    prefilled yet. ``long`` is the number of long requests; it is set only in the
+    reports of routers.
     """
 
     target_id: str
@@ -70,7 +70,7 @@
 
 @frozen
 class CrashMark:
-    """Fingerprint of a request that was running on a target when it was lost."""
+    """Fingerprint of a request that a target was running when the target was lost."""
 
     fingerprint: bytes
     target_id: str
@@ -78,10 +78,10 @@
 
 @frozen
 class LeavingWord:
-    """Notice that a target announced in an answer to a router that it is leaving.
+    """Announcement by a target, in an answer to a router, that it is leaving.
 
     ``born_ms`` is the Unix time in milliseconds of the target's start, as known to the
-    router. The notice applies to that start only.
+    router. The announcement no longer applies once the target has started again.
     """
 
     target_id: str
@@ -94,7 +94,8 @@
 
     ``incarnation`` changes with each start of the router. ``address`` is the address
     to which callers connect. ``ejected`` are the targets that the router ejected after
-    failures, ``leaving`` those that announced to it that they are leaving.
+    failures. ``leaving`` are the announcements of leaving targets that the router
+    received.
     """
 
     name: str
@@ -112,7 +113,7 @@
 
 @frozen
 class ConfigurationUpdate:
-    """The active configuration, in the bytes that the operator submitted."""
+    """The active configuration, as the bytes that the operator submitted."""
 
     version: int
     content: bytes
@@ -138,8 +139,9 @@
 
     ``targets`` are all targets if ``is_whole`` is true, else those that changed since
     the previous update. ``gone`` are the identities of targets that are no longer
-    listed. ``numbers`` are the numbers of ``targets``, in the same order. Other
-    messages with the same ``numbering`` refer to targets by these numbers.
+    listed. ``numbers`` are the numbers of ``targets``, in the same order. ``numbering``
+    identifies the leader's assignment of numbers; other messages with the same
+    ``numbering`` refer to targets by these numbers.
     """
 
     targets: tuple[TargetEntry, ...]
@@ -187,9 +189,10 @@
 class LoadColumns:
     """Load sums in the encoding of `berylnotch.group.columns`.
 
-    In ``requests``, the byte at a target's number is its number of requests. In
-    ``unread``, it is its number of unread prompt tokens on a logarithmic scale.
-    ``suspects`` are numbers of targets.
+    A target's number is its index in ``requests`` and ``unread``. The byte in
+    ``requests`` is the number of requests at the target. The byte in ``unread`` is the
+    number of prompt tokens that the target has not prefilled yet, on a logarithmic
+    scale. ``suspects`` are numbers of targets.
     """
 
     numbering: int
@@ -202,8 +205,8 @@
 class NoteRecords:
     """Prompt notes in the encoding of `berylnotch.group.columns`.
 
-    ``notes`` are records of a fixed size, ``stores`` the addresses of the stores to
-    which they refer.
+    ``notes`` are records of a fixed size. ``stores`` are the addresses of the stores to
+    which the records refer.
     """
 
     numbering: int
--- a/berylnotch/group/state.py
+++ b/berylnotch/group/state.py
@@ -1,4 +1,4 @@
-"""Replicated state of a fleet: configuration, weights, holder of the order lease."""
+"""Replicated fleet state with configuration, weights and holder of the order lease."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
     @property
     def content(self) -> bytes:
-        """Active configuration, in the bytes that the operator submitted."""
+        """Active configuration, as the bytes that the operator submitted."""
         return self._content
 
     @property
@@ -53,7 +53,7 @@
     def order_holder(self) -> str:
         """Controller that has the right to send orders; empty if none has it.
 
-        Only its orders can be in progress.
+        Only orders of this controller can be in progress.
         """
         return self._order_holder
 
@@ -84,7 +84,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a serialised one."""
+        """Replace the state by one that `snapshot` serialised."""
         saved = unpack(data, (_Saved,))
         self._version = saved.version
         self._content = saved.content
