--- a/berylnotch/group/messages.py
+++ b/berylnotch/group/messages.py
@@ -81,7 +81,7 @@
     """Announcement by a target, in an answer to a router, that it is leaving.
 
     ``born_ms`` is the Unix time in milliseconds of the target's start, as known to the
-    router. The announcement no longer applies once the target has started again.
+    router. The announcement applies only to the process that started at this time.
     """
 
     target_id: str
--- a/berylnotch/membership/answers.py
+++ b/berylnotch/membership/answers.py
@@ -16,16 +16,16 @@
     """Return the addresses for one answer, sorted.
 
     If there are more routers than an answer may contain, each router answers with a
-    different subset, so that all routers get callers.
+    different subset, so that callers are spread over all routers.
 
     Parameters
     ----------
     own_address : str
         Address of the answering router.
     is_ready : bool
-        Whether the answering router takes callers itself.
+        Whether the answering router accepts callers itself.
     other_addresses : iterable of str
-        Addresses of the other routers that take callers.
+        Addresses of the other routers that accept callers.
     """
     addresses = sorted(
         other_addresses, key=lambda address: rendezvous_weight(address, own_address)
--- a/berylnotch/membership/ejection.py
+++ b/berylnotch/membership/ejection.py
@@ -52,12 +52,12 @@
             now < self.probe_allowed_at or self.probe_number != 0
         )
 
-    def on_sent(self, now: float, number: int) -> None:
+    def on_sent(self, now: float, request_number: int) -> None:
         """Record a sent request; the first one after the ejection time is the probe."""
         if self.is_ejected and now >= self.probe_allowed_at and not self.probe_number:
-            self.probe_number = number
+            self.probe_number = request_number
 
-    def on_success(self, number: int, sent_at: float) -> None:
+    def on_success(self, request_number: int, sent_at: float) -> None:
         """Reset the failures, unless the request was sent before the ejection.
 
         Such a request does not show that the target has recovered.
@@ -66,10 +66,10 @@
             return
         self.clear()
 
-    def on_failure(self, now: float, number: int) -> None:
+    def on_failure(self, now: float, request_number: int) -> None:
         """Count a failure; eject the target at the limit or after a failed probe."""
         self.failures += 1
-        is_probe = self.probe_number == number
+        is_probe = self.probe_number == request_number
         if is_probe:
             self.probe_number = 0
         is_ejection_due = (
@@ -82,9 +82,9 @@
         self.ejected_at = now
         self.probe_allowed_at = now + self.duration_s
 
-    def on_abandoned(self, number: int) -> None:
+    def on_abandoned(self, request_number: int) -> None:
         """Record the end of a request that is neither a success nor a failure."""
-        if self.probe_number == number:
+        if self.probe_number == request_number:
             self.probe_number = 0
 
     def clear(self) -> None:
--- a/berylnotch/membership/targets.py
+++ b/berylnotch/membership/targets.py
@@ -26,7 +26,7 @@
     incarnation : str
         Identity of the target's running process.
     measured_at : float
-        Router's monotonic time in seconds for which the report is valid.
+        Point of the router's monotonic time, in seconds, at which the report was valid.
     queue_wait_s : float
         Seconds of work that were queued at ``measured_at``.
     running : int
@@ -77,7 +77,7 @@
     def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
         self._records: dict[str, _TargetRecord] = {}
-        self._last_number = 0
+        self._last_dispatch_number = 0
         #: Targets that were ejected and whose ejection may not have ended.
         self._ejected_targets: set[str] = set()
         self._fleet: Fleet | None = None
@@ -86,8 +86,8 @@
     def begin(self, now: float, target: str, work_s: float) -> Dispatch:
         """Record a request that is sent to ``target``."""
         record = self._get_record(target)
-        self._last_number += 1
-        dispatch = Dispatch(target, self._last_number, now, work_s)
+        self._last_dispatch_number += 1
+        dispatch = Dispatch(target, self._last_dispatch_number, now, work_s)
         record.dispatches[dispatch.number] = dispatch
         record.awaiting_first_token[dispatch.number] = dispatch
         record.ejection.on_sent(now, dispatch.number)
--- a/berylnotch/placement/homes.py
+++ b/berylnotch/placement/homes.py
@@ -12,7 +12,7 @@
 from berylnotch.placement.rendezvous import prefix_key
 
 #: Points of each target on the ring. More points make the targets' shares more even.
-POINTS = 64
+POINTS_PER_TARGET = 64
 
 _POINT_BITS = 61
 _INDEX_BITS = 16
@@ -69,6 +69,6 @@
 
 
 def _points(name: str) -> tuple[int, ...]:
-    digest = hashlib.shake_128(name.encode()).digest(8 * POINTS)
-    words = struct.unpack(f">{POINTS}Q", digest)
+    digest = hashlib.shake_128(name.encode()).digest(8 * POINTS_PER_TARGET)
+    words = struct.unpack(f">{POINTS_PER_TARGET}Q", digest)
     return tuple(word >> 64 - _POINT_BITS for word in words)
--- a/berylnotch/placement/hot.py
+++ b/berylnotch/placement/hot.py
@@ -1,4 +1,7 @@
-"""Request rates of prefixes, which determine the number of homes of each prefix."""
+"""Request rates of prefixes, which determine the number of homes of each prefix.
+
+The homes of a prefix are the targets that are preferred for requests with this prefix.
+"""
 
 from __future__ import annotations
 
--- a/berylnotch/placement/placer.py
+++ b/berylnotch/placement/placer.py
@@ -140,8 +140,9 @@
         Returns
         -------
         tuple of str
-            The homes of the shallowest level that has at most ``max_candidates`` homes.
-            Prompts without a full block get targets in rotation.
+            The homes (preferred targets) of the shallowest level that has at most
+            ``max_candidates`` homes. Prompts without a full block get targets in
+            rotation.
         """
         count = self._settings.max_candidates
         if len(names) <= count:
--- a/berylnotch/placement/rank.py
+++ b/berylnotch/placement/rank.py
@@ -70,8 +70,8 @@
 ) -> dict[str, int]:
     """Return the leading blocks that affinity expects to be cached at each target.
 
-    Each level of the chain selects its homes among those of the level above,
-    so a prompt's homes are among the homes of each of its prefixes.
+    Each level of the chain selects its homes (preferred targets) among those of the
+    level above, so a prompt's homes are among the homes of each of its prefixes.
     """
     remaining_names = list(names)
     expected: dict[str, int] = {}
--- a/berylnotch/placement/settings.py
+++ b/berylnotch/placement/settings.py
@@ -20,7 +20,8 @@
         Assumed prompt bytes per token, since the router does not tokenise. Larger
         values make affinity coarser, smaller values make it finer.
     default_home_depth : int, default=8
-        Depth in blocks at which a router without measured rates selects one home.
+        Depth in blocks at which a router without measured rates selects one home
+        (preferred target).
         A greater depth spreads prompts more, a smaller depth shares caches more.
     retention_s : float, default=16.0
         Time in seconds for which an engine keeps a prefix that is not used again.
