--- a/berylnotch/daemon/fleet/follower.py
+++ b/berylnotch/daemon/fleet/follower.py
@@ -18,7 +18,8 @@
 
 #: Seconds within which a controller must answer a router's first report; heartbeats do
 #: not count as an answer. A new leader answers all routers at the same time and needs
-#: some milliseconds for each; a router that times out and reconnects adds to that load.
+#: some milliseconds for each; a router that times out and reconnects adds to this
+#: work.
 ANSWER_TIMEOUT_S = 2.0
 
 #: Seconds for which a controller that did not answer is tried after all others.
@@ -74,8 +75,8 @@
         self._address_counter = itertools.count()
         self._is_closed = False
         self._has_leader = False
-        #: Boot times, by address, until which a controller is tried after all others,
-        #: and until which a redirect to a lost leader is ignored.
+        #: Boot times by address. Until the first, a controller is tried after all
+        #: others; until the second, a redirect to a lost leader is ignored.
         self._back_off_until: dict[str, float] = {}
         self._lost_leader_until: dict[str, float] = {}
 
@@ -102,7 +103,7 @@
             self._link.close(STOPPING)
 
     def send(self, message: object) -> None:
-        """Send a message; without a link it is dropped."""
+        """Send a message, or drop the message if there is no link."""
         if self._link is not None:
             self._link.send(message)
 
--- a/berylnotch/daemon/fleet/membership_manager.py
+++ b/berylnotch/daemon/fleet/membership_manager.py
@@ -16,7 +16,7 @@
 
 
 class MembershipManager:
-    """Changes the group's members on the leader, and requests to join elsewhere.
+    """Changes the group's members on the leader; requests to join on a non-leader.
 
     Parameters
     ----------
@@ -74,9 +74,9 @@
     def change_members(self, replica: Replica) -> bool:
         """Propose the member change that is due; return whether one was proposed."""
         now = boot_time()
-        for name, received_at in tuple(self._join_received_at.items()):
+        for identity, received_at in tuple(self._join_received_at.items()):
             if now - received_at > self._group_settings.candidate_s:
-                del self._join_received_at[name], self._join_requests[name]
+                del self._join_received_at[identity], self._join_requests[identity]
         view = self._group_view(now, replica)
         members = next_change(view, self._group_settings)
         if members is None:
@@ -119,14 +119,18 @@
 
     def _group_view(self, now: float, replica: Replica) -> GroupView:
         silence_s, caught_up = {}, set()
-        for name, progress in replica.progress.items():
-            since = self._member_since.setdefault(name, now)
-            silence_s[name] = now - max(since, progress.last_contact_at)
-            if replica.is_caught_up(now, name):
-                caught_up.add(name)
-        own = replica.identity
+        for identity, progress in replica.progress.items():
+            member_since = self._member_since.setdefault(identity, now)
+            silence_s[identity] = now - max(member_since, progress.last_contact_at)
+            if replica.is_caught_up(now, identity):
+                caught_up.add(identity)
+        own_identity = replica.identity
         return GroupView(
-            own, replica.members, self._join_requests, silence_s, frozenset(caught_up)
+            own_identity,
+            replica.members,
+            self._join_requests,
+            silence_s,
+            frozenset(caught_up),
         )
 
 
--- a/berylnotch/daemon/fleet/notes.py
+++ b/berylnotch/daemon/fleet/notes.py
@@ -16,9 +16,9 @@
 #: Burst size of the rate limit, in notes: the capacity of its token bucket.
 NOTES_BURST = 150.0
 
-#: Shares of the burst that are reserved: the first for notes of prefixes that routers
-#: do not know to be cached, and within it the second for notes of finished prefills. A
-#: prefix stays cached after its prefill until it is evicted.
+#: Reserved shares of the burst. The first is for notes of prefixes that routers do not
+#: know to be cached. The second is a part of the first, for notes of finished prefills:
+#: a prefix stays cached after its prefill until it is evicted.
 NEW_NOTES_RESERVE = 0.5
 READY_NOTES_RESERVE = 0.25
 
@@ -26,11 +26,12 @@
 class NoteFilter:
     """Limits the rate of forwarded prompt notes; prefers notes of unknown prefixes.
 
-    The load that it is designed for is thousands of long prompts per second, most of
-    whose prefixes an engine has cached already. A router that knows of a cached prefix
-    learns little from the note of another cache hit there: the prefix moves in the
-    least-recently-used order, and the rest of the prompt occupies cache memory. The
-    tokens of that rest are added to a later note of the same engine.
+    The filter is designed for thousands of long prompts per second, most of whose
+    prefixes an engine has cached already. A router that knows that an engine caches a
+    prefix learns little from the note of another cache hit on this engine: the prefix
+    moves in the least-recently-used order, and the rest of the prompt occupies cache
+    memory. If a note is dropped, the tokens of the rest of its prompt are added to the
+    next forwarded note of the same engine.
 
     Parameters
     ----------
@@ -42,7 +43,8 @@
         self._capacity_of = capacity_of
         #: Cache contents that routers infer from the forwarded notes.
         self._known_by_routers = CacheModel()
-        #: Own tokens of the dropped notes since the last forwarded one, by engine.
+        #: Sums of `own_tokens` in the notes dropped since the last forwarded note, by
+        #: engine.
         self._dropped_tokens: dict[str, int] = {}
         self._bucket_level = NOTES_BURST
         self._refilled_at: float | None = None
@@ -69,8 +71,8 @@
     def _forward(self, now: float, note: PromptNote) -> PromptNote | None:
         """Return the note to forward, or None if it is dropped."""
         capacity = self._capacity_of(note.holder)
-        needed = 1.0 + self._reserved_share(now, note, capacity) * NOTES_BURST
-        if self._bucket_level < needed:
+        needed_level = 1.0 + self._reserved_share(now, note, capacity) * NOTES_BURST
+        if self._bucket_level < needed_level:
             self._dropped += 1
             self._dropped_tokens[note.holder] = (
                 self._dropped_tokens.get(note.holder, 0) + note.own_tokens
@@ -97,6 +99,8 @@
 
     def _refill(self, now: float) -> None:
         if self._refilled_at is not None:
-            refilled = self._bucket_level + (now - self._refilled_at) * NOTES_PER_S
-            self._bucket_level = min(NOTES_BURST, refilled)
+            refilled_level = (
+                self._bucket_level + (now - self._refilled_at) * NOTES_PER_S
+            )
+            self._bucket_level = min(NOTES_BURST, refilled_level)
         self._refilled_at = now
--- a/berylnotch/daemon/fleet/operators.py
+++ b/berylnotch/daemon/fleet/operators.py
@@ -34,8 +34,8 @@
 class OperatorsInterface:
     """HTTP server for configurations and for the versions of weights to roll out.
 
-    Only the leader answers, since only it is sure to have the newest state; the other
-    controllers redirect operators to it.
+    Only the leader answers, since only the leader is certain to have the newest state;
+    the other controllers redirect operators to it.
 
     Parameters
     ----------
--- a/berylnotch/daemon/fleet/order_lease.py
+++ b/berylnotch/daemon/fleet/order_lease.py
@@ -100,11 +100,11 @@
             self._acquire()
 
     def on_load_started(self) -> None:
-        """Record that an order may be sent from now on."""
+        """Count a started load, whose order may be sent from now on."""
         self._orders_running += 1
 
     def on_load_ended(self) -> None:
-        """Record that the operation of an order has ended, so it is not running."""
+        """Count an ended load, whose order is not running; restart the idle timer."""
         self._orders_running -= 1
         self._restart_idle_timer()
 
@@ -126,16 +126,16 @@
     def _restart_idle_timer(self) -> None:
         """Restart the timer that releases the lease after idle time."""
         self._idle_since = boot_time()
-        since = self._idle_since
+        idle_since = self._idle_since
         self._loop.call_later(
-            self._lease_with_margin_s, lambda: self._release_if_idle(since)
+            self._lease_with_margin_s, lambda: self._release_if_idle(idle_since)
         )
 
-    def _release_if_idle(self, since: float) -> None:
-        is_idle = self._orders_running == 0 and self._idle_since == since
+    def _release_if_idle(self, idle_since: float) -> None:
+        is_idle = self._orders_running == 0 and self._idle_since == idle_since
         if not is_idle or not self.is_held:
             return
-        # Cleared before the command can be committed, so that no order follows it.
+        # Cleared before the release can commit, so that no order is sent after it.
         self._is_held = False
         self._propose(pack(GiveBackOrders(self._name)), self._on_released)
 
--- a/berylnotch/daemon/fleet/registry.py
+++ b/berylnotch/daemon/fleet/registry.py
@@ -128,8 +128,8 @@
     def push_pages(self, update: TargetsUpdate) -> None:
         """Send a part of the first target list; routers keep all other targets.
 
-        After a failure the list is read again from its first page, so the same pages
-        may come again.
+        After a failure the list is read again from its first page, so this
+        method may get the same pages again.
         """
         entries = {e.target.target_id: e for e in update.targets}
         changed = self._target_table.update(entries)
@@ -145,17 +145,18 @@
         """Send the differences between the previous and this update to all routers."""
         previous, self._targets = self._targets, update
         self._first_pages = []
-        # Packed again, with the ages of this update, when the next router connects.
+        # The list is packed again when the next router connects, so that the router
+        # gets the ages of weights from this update.
         self._packed_targets = b""
         entries = {e.target.target_id: e for e in update.targets}
         change = self._target_table.replace(entries)
         self._target_numbers.keep(entries)
         if previous is None:
             self._send_all(self._target_numbers.with_numbers(update))
-        elif change is not None or not _has_same_rest(previous, update):
+        elif change is not None or not _are_equal_except_targets(previous, update):
             entries, gone = (change.entries, change.gone) if change else ((), ())
-            part = evolve(update, targets=entries, gone=gone, is_whole=False)
-            self._send_all(self._target_numbers.with_numbers(part))
+            delta = evolve(update, targets=entries, gone=gone, is_whole=False)
+            self._send_all(self._target_numbers.with_numbers(delta))
 
     def complete_roster(self) -> None:
         """Start to send rosters, after all routers had time to report."""
@@ -268,10 +269,12 @@
         router.link.send(self._packed_configuration)
 
     def _add_crash_marks(self, report: RouterReport) -> None:
-        new = tuple(mark for mark in report.crashes if mark not in self._crash_marks)
-        if not new:
+        new_marks = tuple(
+            mark for mark in report.crashes if mark not in self._crash_marks
+        )
+        if not new_marks:
             return
-        for mark in new:
+        for mark in new_marks:
             self._crash_marks[mark] = None
             self._log.warning(
                 "crash_mark",
@@ -281,7 +284,7 @@
             )
         while len(self._crash_marks) > MAX_CRASH_MARKS:
             del self._crash_marks[next(iter(self._crash_marks))]
-        self._send_all(CrashesUpdate(new))
+        self._send_all(CrashesUpdate(new_marks))
 
     def _send_all(self, message: object) -> None:
         self._send_packed(pack(message))
@@ -291,8 +294,8 @@
             router.link.send(packed)
 
 
-def _has_same_rest(one: TargetsUpdate, other: TargetsUpdate) -> bool:
-    """Return whether updates are equal apart from targets and ages of weights."""
+def _are_equal_except_targets(one: TargetsUpdate, other: TargetsUpdate) -> bool:
+    """Return whether two updates are equal apart from targets and ages of weights."""
     return one.down_stores == other.down_stores and [
         (w.model, w.version) for w in one.weights
     ] == [(w.model, w.version) for w in other.weights]
--- a/berylnotch/daemon/fleet/replica_host.py
+++ b/berylnotch/daemon/fleet/replica_host.py
@@ -23,7 +23,7 @@
 from berylnotch.util.lines import EventLog
 from berylnotch.util.loop import Loop
 
-#: Interval between two ticks of the replica, in seconds: half a heartbeat.
+#: Interval between two ticks of the replica, in seconds: half a heartbeat interval.
 TICK_INTERVAL_S = 0.05
 
 #: Interval between two checks of the group's members, in seconds.
@@ -41,7 +41,7 @@
 
 #: The snapshot sizes suit a state of a few hundred KB on a disk of about 100 MB. The
 #: time-outs give a failover in about a second. No tokens are granted and no orders are
-#: sent to engines until it ends.
+#: sent to engines until the failover ends.
 CONSENSUS = ConsensusSettings(
     heartbeat_s=0.1,
     lease_s=0.55,
@@ -190,7 +190,7 @@
             self._schedule_processing()
 
     def join(self, request: JoinRequest) -> bool:
-        """Record a join request; return whether this replica can serve it."""
+        """Record a join request; return False if this replica does not lead."""
         if not self.is_active():
             return False
         self._membership_manager.join(request)
--- a/berylnotch/daemon/fleet/reports.py
+++ b/berylnotch/daemon/fleet/reports.py
@@ -9,8 +9,9 @@
 from berylnotch.group.messages import RouterReport, TargetLoad
 from berylnotch.util.coalesced_action import CoalescedAction
 
-#: Report interval per router of the fleet, in seconds. The interval of a large fleet
-#: grows with it, so that the leader receives at most about 250 reports a second.
+#: Report interval per router of the fleet, in seconds. In a large fleet the interval
+#: grows with the number of routers, so that the leader receives at most about 250
+#: reports a second.
 REPORT_PER_ROUTER_S = 0.004
 
 #: Minimum interval between two periodic reports, in seconds.
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -60,15 +60,16 @@
 #: Interval in seconds between two checks of the requests that wait for tokens.
 QUOTA_CHECK_INTERVAL_S = 0.05
 
-#: Seconds for which callers may cache the list of router addresses. Some cache it three
-#: times as long, so a draining router accepts requests until that time is over.
+#: Seconds for which callers may cache the list of router addresses. Some callers
+#: cache it three times as long, so a draining router accepts requests for at least
+#: three times this duration.
 ADDRESS_TTL_S = 1.2
 
 #: Longest time for which callers cache an address list, as a multiple of its TTL.
 MAX_TTL_FACTOR = 3
 
-#: Seconds without a new connection after which a draining router may stop. Requests in
-#: transit have arrived by then.
+#: Seconds without a new connection after which a draining router may stop. Requests
+#: that were in transit arrive within this period.
 QUIET_PERIOD_S = 0.25
 
 #: Seconds allowed for the last responses to be written to their sockets.
@@ -191,7 +192,7 @@
         self._log.info("started", callers=self._settings.listen)
 
     def drain(self, done: Callable[[], None]) -> None:
-        """Accept requests until callers have dropped this address, then stop.
+        """Accept requests until no caller caches this address, then stop.
 
         Parameters
         ----------
@@ -342,7 +343,7 @@
             self._targets_received_at = boot_time()
             self._numbered_targets.store_numbers(message)
             apply_targets(self._context, message)
-            self._release_early_requests()
+            self._release_buffered_requests()
         elif isinstance(message, RosterUpdate):
             if message.is_whole:
                 self._roster = {}
@@ -362,7 +363,7 @@
         elif isinstance(message, NoteRecords):
             apply_prompt_notes(self._context, self._numbered_targets.notes(message))
 
-    def _release_early_requests(self) -> None:
+    def _release_buffered_requests(self) -> None:
         if len(self._startup_buffer) and self._has_targets:
             self._log.info("early_requests", count=len(self._startup_buffer))
             self._startup_buffer.release_all()
@@ -380,7 +381,7 @@
         )
         apply_limits(self._context)
         self._reports.send()
-        self._release_early_requests()
+        self._release_buffered_requests()
 
     # Quota of the organisations.
 
--- a/berylnotch/daemon/fleet/stores.py
+++ b/berylnotch/daemon/fleet/stores.py
@@ -1,4 +1,4 @@
-"""Health checks of KV-cache stores, so that no engine waits for one that is down."""
+"""Health checks of KV-cache stores, so that engines do not wait for a failed store."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
     loop : Loop
         Event loop of the process.
     on_change : callable
-        Called each time a store goes down or comes back, also after a restart that
-        causes no failed poll.
+        Called each time a store goes down or comes back, including a restart
+        that causes no failed poll.
     log : EventLog
         Log of the process.
     """
--- a/berylnotch/daemon/fleet/survey.py
+++ b/berylnotch/daemon/fleet/survey.py
@@ -1,4 +1,4 @@
-"""Queries engines for the weights that they run, with bounded concurrency."""
+"""Queue that queries engines for their weights, with bounded concurrency."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 #: Seconds within which an engine must answer a call.
 CALL_TIMEOUT_S = 0.6
 
-#: Most calls in flight at the same time. Connecting to all engines of a large fleet at
-#: once would keep the thread of a new leader busy until its lease expires.
+#: Largest number of calls in flight. Connecting to all engines of a large fleet at once
+#: would keep the thread of a new leader busy until its lease expires.
 MAX_CONCURRENT_CALLS = 16
 
 
@@ -53,7 +53,7 @@
         self._start_calls()
 
     def close(self) -> None:
-        """Clear the queue; calls in flight go on."""
+        """Clear the queue; calls in flight continue."""
         self._queue.clear()
 
     def _start_calls(self) -> None:
--- a/berylnotch/daemon/fleet/updates.py
+++ b/berylnotch/daemon/fleet/updates.py
@@ -17,21 +17,22 @@
 from berylnotch.util.clock import boot_time
 
 #: Interval between two requests for tokens in advance per router of the fleet, in
-#: seconds. The interval of a large fleet grows with it, so that the quota owner
-#: receives at most about 250 of these requests a second, each with all organisations.
-#: Requests for waiting work come in addition.
+#: seconds. In a large fleet the interval grows with the number of routers, so that the
+#: quota owner receives at most about 250 of these requests a second, each with all
+#: organisations. Requests for tokens that work already waits for are sent in addition.
 GRANT_REQUEST_PER_ROUTER_S = 0.004
 
-#: Interval between such requests in seconds while the number of routers is unknown. It
-#: is that of a fleet of 250 routers, since all of them may restart at the same time.
+#: Interval between two requests for tokens in advance while the number of routers is
+#: unknown, in seconds. It equals the interval of a fleet of 250 routers, since all
+#: routers may restart at the same time.
 INITIAL_GRANT_REQUEST_INTERVAL_S = 1.0
 
 
 def apply_targets(context: EntryContext, update: TargetsUpdate) -> None:
     """Apply targets, named weight versions and the list of stores that are down."""
     now = boot_time()
-    gone = None if update.is_whole else update.gone
-    for removed_id in context.targets.update(update.targets, gone):
+    removed_ids = None if update.is_whole else update.gone
+    for removed_id in context.targets.update(update.targets, removed_ids):
         context.prompts.forget_engine(removed_id)
     for named in update.weights:
         named_at = now - named.age_ms / 1000
@@ -59,10 +60,10 @@
         target = context.targets.get(target_id)
         if target is None:
             continue
-        zero = TargetLoad(target_id, 0)
+        no_load = TargetLoad(target_id, 0)
         total_load, own_load = (
-            total_by_id.get(target_id, zero),
-            own_by_id.get(target_id, zero),
+            total_by_id.get(target_id, no_load),
+            own_by_id.get(target_id, no_load),
         )
         target.others_in_flight = max(0, total_load.requests - own_load.requests)
         target.others_unread = max(0, total_load.unread - own_load.unread)
@@ -71,7 +72,7 @@
 
 
 def apply_prompt_notes(context: EntryContext, notes: Iterable[PromptNote]) -> None:
-    """Record the targets and stores where other routers had prompts read or saved.
+    """Record which targets read, and which stores saved, prompts of other routers.
 
     Tokens that a target has yet to read are added to its load immediately. The next
     load sums replace them.
@@ -99,8 +100,8 @@
 def apply_limits(context: EntryContext) -> None:
     """Set how many tokens of each organisation's limit this router holds in advance.
 
-    The part of a burst that routers may hold is divided evenly among them. Also sets
-    the interval between requests for these tokens.
+    The part of a burst that routers may hold is divided evenly among them. The
+    function also sets the interval between requests for these tokens.
     """
     if context.routes is None:
         return
--- a/berylnotch/daemon/fleet/watch.py
+++ b/berylnotch/daemon/fleet/watch.py
@@ -28,7 +28,8 @@
 #: allow fewer calls than its stated rate, and refused calls return no targets.
 PAUSE_INCREASE_FACTOR = 1.5
 
-#: Factor by which that pause shrinks after each list read without a rate-limited call.
+#: Factor by which the pause between pages shrinks after each reading of the list
+#: without a rate-limited call.
 PAUSE_DECREASE_FACTOR = 0.9
 
 #: Attempts for one page before the reading restarts from the first page.
@@ -37,7 +38,8 @@
 #: HTTP status of a rate-limited call.
 TOO_MANY_REQUESTS = 429
 
-#: Most pages of one reading; a longer list is truncated, with a line in the log.
+#: Largest number of pages in one reading. A longer list is truncated, with a line in
+#: the log.
 MAX_PAGES = 200
 
 
@@ -49,7 +51,7 @@
     loop : Loop
         Event loop of the process.
     address : Address
-        Address of the server of the list.
+        Address of the server that provides the list.
     period_s : float
         Pause between two readings, in seconds.
     rate : float
@@ -84,7 +86,8 @@
         self._page_count = 0
         self._page_token = ""
         self._min_pause_s = self._pause_s = 1 / (RATE_SHARE * rate)
-        #: Whether the last call, or any call of the current reading, was rate-limited.
+        #: Whether the last call was rate-limited, and whether any call of the current
+        #: reading was.
         self._is_last_call_limited = False
         self._is_reading_limited = False
         self._attempts = 0
@@ -103,11 +106,11 @@
         self._is_reading_limited = False
         self._request_page("")
 
-    def _request_page(self, page: str) -> None:
+    def _request_page(self, page_token: str) -> None:
         if self._is_closed:
             return
-        self._page_token = page
-        request = list_request(str(self._address), page)
+        self._page_token = page_token
+        request = list_request(str(self._address), page_token)
         fetch(self._loop, self._address, request, CALL_TIMEOUT_S, self._on_response)
 
     def _on_response(self, response: HttpResponse | None, failure: str) -> None:
--- a/berylnotch/daemon/fleet/weights.py
+++ b/berylnotch/daemon/fleet/weights.py
@@ -28,11 +28,11 @@
 from berylnotch.util.loop import Loop
 
 #: Longest time in seconds for which an engine is emptied of long requests before it
-#: loads. It serves short requests during that time.
+#: loads. The engine serves short requests while it is emptied.
 MAX_EMPTYING_S = 4.0
 
-#: The same for an engine with overdue weights: runs that can move to another engine
-#: have moved by then.
+#: Longest time in seconds for which an engine with overdue weights is emptied. Runs
+#: that can move to another engine move within this time.
 MAX_EMPTYING_OVERDUE_S = 0.5
 
 #: Share of the configured `weights_s` limit after which older weights are overdue.
@@ -44,8 +44,8 @@
 EMPTYING_REPORT_DELAY_S = 0.1
 EMPTYING_CHECK_INTERVAL_S = 0.05
 
-#: Seconds between marking an engine as loading and sending its order. Routers have sent
-#: their last request to it by then.
+#: Seconds between marking an engine as loading and sending its order. Routers send
+#: their last request to the engine within this delay.
 ORDER_DELAY_S = 0.05
 
 #: Seconds from an order to the first poll of its result, while no load time is known.
@@ -57,12 +57,12 @@
 #: Seconds between two polls. A poll costs less than an engine that stays idle.
 POLL_INTERVAL_S = 0.12
 
-#: Seconds after an order from which a report of an idle engine means that the engine
-#: does not carry the order out.
+#: Seconds that must have passed since an order before a report of an idle engine means
+#: that the engine does not carry the order out.
 IDLE_TIMEOUT_S = 0.8
 
-#: Seconds after an order from which an engine without a readable report counts as
-#: failed. It gets a new order after the back-off.
+#: Seconds after an order until an engine without a readable report counts as failed.
+#: The engine gets a new order after the back-off.
 ORDER_TIMEOUT_S = 5.0
 
 #: Back-off in seconds before an engine that failed gets another order.
@@ -108,7 +108,8 @@
     epoch : int
         Fencing token of this leader.
     weights_s : float
-        Seconds after a version was named during which requests may start on older ones.
+        Seconds after a version was named during which requests may start on older
+        versions.
     on_change : callable
         Called when an engine starts or ends being emptied or loading.
     log : EventLog
@@ -160,8 +161,8 @@
     def survey(self) -> None:
         """Query the engines that have outdated weights according to the target list.
 
-        The list lags by some seconds: an engine may have loaded since, or may be
-        carrying out an order of an earlier leader.
+        The list lags by some seconds: an engine may have loaded newer weights in the
+        meantime, or may be carrying out an order of an earlier leader.
         """
         newest_versions = self._announced_weights.versions()
         self._survey.query(
@@ -252,14 +253,14 @@
         self._on_change()
 
     def _wait_until_empty(self, load: _Load) -> None:
-        """Start a load once the long requests have ended or their time is over."""
+        """Start a load once long requests have ended or the emptying time is over."""
         if self._check_ended(load):
             return
         target_id, now = load.planned.target_id, boot_time()
         is_overdue = target_id in self._outdated_targets(now, self._overdue_after_s)
         max_emptying_s = MAX_EMPTYING_OVERDUE_S if is_overdue else MAX_EMPTYING_S
-        is_late = now - load.started_at > max_emptying_s
-        if is_late or not self._long_requests(target_id):
+        is_emptying_time_over = now - load.started_at > max_emptying_s
+        if is_emptying_time_over or not self._long_requests(target_id):
             self._start_loading(load)
         else:
             self._loop.call_later(
@@ -394,7 +395,7 @@
             self._finish_load(load, report)
             return
         elif not report.is_busy and waited_s > IDLE_TIMEOUT_S:
-            # Reports lag, so an idle engine is conclusive only after this time.
+            # Reports lag, so an idle engine is conclusive only after IDLE_TIMEOUT_S.
             self._finish_load(load, report)
             return
         self._loop.call_later(POLL_INTERVAL_S, lambda: self._poll(load))
@@ -405,9 +406,9 @@
             return DEFAULT_FIRST_POLL_DELAY_S
         return FIRST_POLL_SHARE * self._min_load_s
 
-    def _record_load_time(self, took_s: float) -> None:
-        if self._min_load_s is None or took_s < self._min_load_s:
-            self._min_load_s = took_s
+    def _record_load_time(self, load_time_s: float) -> None:
+        if self._min_load_s is None or load_time_s < self._min_load_s:
+            self._min_load_s = load_time_s
 
     def _decode_report(
         self, load: _Load, response: HttpResponse | None, failure: str
@@ -460,7 +461,7 @@
         self.advance()
 
     def _check_ended(self, load: _Load) -> bool:
-        """Whether a load is over; ends it if its target is gone or was restarted."""
+        """Return whether a load is over; end a load whose target left or restarted."""
         if self._is_closed or load.has_ended:
             return True
         current = self._inventory.target(load.planned.target_id)
