--- a/berylnotch/daemon/controller/controller.py
+++ b/berylnotch/daemon/controller/controller.py
@@ -1,4 +1,4 @@
-"""Controller process: log storage, core thread and network connections."""
+"""Controller process, which runs the log storage, the core thread and the network."""
 
 from __future__ import annotations
 
--- a/berylnotch/daemon/controller/members.py
+++ b/berylnotch/daemon/controller/members.py
@@ -27,7 +27,7 @@
     from berylnotch.transport.peers import Peers
 
 _JOIN_TIMEOUT_S = 2.0
-#: Seconds without progress after which a membership change is refused.
+#: Seconds without progress after which a membership change is aborted and refused.
 _PROGRESS_TIMEOUT_S = 60.0
 
 
@@ -44,7 +44,7 @@
 
 
 class MemberChanges:
-    """Adds a controller as a learner, promotes it, then removes the old one.
+    """Adds a controller as a learner, promotes it, then removes the replaced one.
 
     Each step is proposed after the previous step is committed. A change that stops
     after any step therefore leaves a working group, and a repeated request continues
@@ -106,14 +106,14 @@
         if request.add_name and change.joining is None:
             self._request_identity(change)
             return
-        proposed = self._next_members(now, replica, change)
-        if proposed is None:
+        next_members = self._next_members(now, replica, change)
+        if next_members is None:
             return
-        if proposed == replica.members:
+        if next_members == replica.members:
             logger.info("event=member_change_done change={}", request.change_id)
             self._finish(MemberChangeReply(replica.members))
             return
-        replica.propose_members(now, proposed)
+        replica.propose_members(now, next_members)
         change.last_progress_at = now
         logger.info("event=member_change_step change={}", request.change_id)
 
--- a/berylnotch/daemon/controller/ordering.py
+++ b/berylnotch/daemon/controller/ordering.py
@@ -26,7 +26,7 @@
 
 _REQUEST_TIMEOUT_S = 2.0
 #: Interval in seconds between checks of the orders.
-_INTERVAL_S = 0.2
+_CHECK_INTERVAL_S = 0.2
 #: Seconds after which an unfinished order is sent again, unless the engine reports that
 #: it is loading for this order.
 _RESEND_INTERVAL_S = 3.0
@@ -80,9 +80,9 @@
         self._external_client = external_client
         self._target_watch = target_watch
         self._propose = propose
-        self._since_ms = int(since * 1000)
-        self._next_tick = 0.0
-        self._sent: dict[str, _SentOrder] = {}
+        self._leading_since_ms = int(since * 1000)
+        self._next_check_at = 0.0
+        self._sent_orders: dict[str, _SentOrder] = {}
         self._issued_index = 0
 
     def tick(self, now: float, valid_until: float) -> None:
@@ -94,11 +94,11 @@
             Monotonic time in seconds.
         valid_until : float
             Monotonic time in seconds at which the leader's lease ends; no order is
-            sent after it.
+            sent after this time.
         """
-        if now < self._next_tick:
+        if now < self._next_check_at:
             return
-        self._next_tick = now + _INTERVAL_S
+        self._next_check_at = now + _CHECK_INTERVAL_S
         for name in tuple(self._state.fleet.targets):
             order = self._state.order(name)
             if order is not None and not order.finished_ms:
@@ -117,12 +117,12 @@
             self._propose(command)
 
     def _leadership(self, now: float, now_ms: int) -> Leadership:
-        leading_ms = int(now * 1000) - self._since_ms
+        leading_for_ms = int(now * 1000) - self._leading_since_ms
         lease_ms = int(self._settings.consensus.election_max_s * 1000)
-        return Leadership(since_ms=now_ms - leading_ms, lease_ms=lease_ms)
+        return Leadership(since_ms=now_ms - leading_for_ms, lease_ms=lease_ms)
 
     def _advance(self, now: float, valid_until: float, order: OrderRecord) -> None:
-        sent = self._sent.get(order.target)
+        sent = self._sent_orders.get(order.target)
         if sent is None or sent.fence != order.fence:
             sent = None
         if sent is not None and self._is_done(order, sent):
@@ -149,11 +149,11 @@
         if not may_send(now_ms, engine, self._leadership(now, now_ms)):
             return
         load = self._target_watch.load(order.target)
-        sent = self._sent.get(order.target)
+        sent = self._sent_orders.get(order.target)
         first_sent_at = (
             sent.first_sent_at if sent and sent.fence == order.fence else now
         )
-        self._sent[order.target] = _SentOrder(order.fence, now, first_sent_at)
+        self._sent_orders[order.target] = _SentOrder(order.fence, now, first_sent_at)
         if load is not None and load.loading and load.fence == order.fence:
             return
         address = EngineAddress(target.address, self._settings.target_credential)
@@ -193,5 +193,5 @@
             order.version,
             ok,
         )
-        self._sent.pop(order.target, None)
+        self._sent_orders.pop(order.target, None)
         self._propose(FinishOrder(order.target, order.fence, ok, order.version, detail))
--- a/berylnotch/daemon/controller/reads.py
+++ b/berylnotch/daemon/controller/reads.py
@@ -43,7 +43,7 @@
     from berylnotch.fleet.model import Organisation, Target
 
 #: Largest number of audit records in one reply.
-_MAX_AUDIT = 1000
+_MAX_AUDIT_RECORDS = 1000
 
 _OPERATOR_COMMANDS = (
     ApplyText,
@@ -64,8 +64,8 @@
     Raises
     ------
     ControlError
-        If operators may not propose this kind of command, if it names another
-        operator, has no change id, or holds a digest of the wrong length.
+        If operators may not propose this kind of command, or if the command names
+        another operator, has no change id, or holds a digest of the wrong length.
     """
     if not isinstance(command, _OPERATOR_COMMANDS):
         raise ControlError(f"{type(command).__name__} is no command of operators")
@@ -91,7 +91,7 @@
     if isinstance(message, ShowRequest):
         return ShowReply(state.revision, state.text)
     if isinstance(message, AuditRequest):
-        limit = min(max(message.limit, 1), _MAX_AUDIT)
+        limit = min(max(message.limit, 1), _MAX_AUDIT_RECORDS)
         return AuditReply(state.audit(message.after_index, limit))
     if isinstance(message, KeysRequest):
         return KeysReply(state.keys(message.organisation))
--- a/berylnotch/daemon/controller/routers.py
+++ b/berylnotch/daemon/controller/routers.py
@@ -102,7 +102,9 @@
             return []
         now_ms = int(time.time() * 1000)
         routers = {
-            claim.router for claim in state.running_claims if _is_old(claim, now_ms)
+            claim.router
+            for claim in state.running_claims
+            if _is_claim_past_lost_timeout(claim, now_ms)
         }
         commands = []
         for router in sorted(routers):
@@ -115,7 +117,7 @@
         return commands
 
 
-def _is_old(claim: ClaimRecord, now_ms: int) -> bool:
+def _is_claim_past_lost_timeout(claim: ClaimRecord, now_ms: int) -> bool:
     return now_ms - claim.opened_ms > LOST_AFTER_S * 1000
 
 
--- a/berylnotch/daemon/controller/targets.py
+++ b/berylnotch/daemon/controller/targets.py
@@ -35,7 +35,7 @@
 
 @frozen
 class _ReceivedLoad:
-    """An engine's newest load report and the time at which it was requested."""
+    """Newest load report of an engine, and its request time in monotonic seconds."""
 
     requested_at: float
     load: TargetLoad
@@ -45,8 +45,8 @@
     """Polls the platform and the engines, and proposes changes of the control state.
 
     A target that the platform or the target itself reports as leaving stays in this
-    state for its incarnation: an outdated VM list does not revert it, a new process of
-    the target does.
+    state for its incarnation: an outdated VM list does not end the state, but a new
+    process of the target does.
 
     Parameters
     ----------
@@ -72,8 +72,8 @@
         self._external_client = external_client
         self._propose = propose
         self._loads: dict[str, _ReceivedLoad] = {}
-        self._next_list = 0.0
-        self._next_load: dict[str, float] = {}
+        self._next_list_at = 0.0
+        self._next_load_at: dict[str, float] = {}
 
     def load(self, target: str) -> TargetLoad | None:
         """Return the newest load report of an engine, None if there is none."""
@@ -81,19 +81,22 @@
         return received.load if received is not None else None
 
     def load_requested_at(self, target: str) -> float:
-        """Return when the newest load report was requested, -inf if there is none."""
+        """Return when the newest load report was requested, in monotonic seconds.
+
+        The result is -inf if there is no load report.
+        """
         received = self._loads.get(target)
         return received.requested_at if received is not None else float("-inf")
 
     def tick(self, now: float) -> None:
         """Send the requests that are due."""
-        if self._settings.platform and now >= self._next_list:
-            self._next_list = now + LIST_INTERVAL_S
+        if self._settings.platform and now >= self._next_list_at:
+            self._next_list_at = now + LIST_INTERVAL_S
             request = build_vms(self._settings.platform, _REQUEST_TIMEOUT_S)
             self._external_client.fetch(request, read_vms, self._on_vm_list)
         for target in self._language_engines():
-            if now >= self._next_load.get(target.name, 0.0):
-                self._next_load[target.name] = now + LOAD_INTERVAL_S
+            if now >= self._next_load_at.get(target.name, 0.0):
+                self._next_load_at[target.name] = now + LOAD_INTERVAL_S
                 self._request_load(now, target)
 
     def _language_engines(self) -> tuple[Target, ...]:
@@ -166,6 +169,6 @@
 def _is_on_vm(target: Target, listed: ListedVm) -> bool:
     if listed.name == target.name or listed.address == target.address:
         return True
-    # The platform's list may hold addresses without ports; the host then names the
-    # VM that runs the target.
+    # The platform's list may hold addresses without ports. The host in the
+    # target's address then identifies the VM.
     return listed.address == target.address.rpartition(":")[0]
