--- a/berylnotch/daemon/router/proposer.py
+++ b/berylnotch/daemon/router/proposer.py
@@ -27,7 +27,8 @@
     """Retries a command until the leader answers; runs in the loop's thread.
 
     Commands must be idempotent, because a command may be applied more than once: a
-    claim is identified by its attempt, a state by its value.
+    claim is identified by its attempt, and setting a state to the same value again has
+    no effect.
 
     Parameters
     ----------
@@ -86,8 +87,8 @@
             address, request, min(remaining_s, _ATTEMPT_TIMEOUT_S)
         )
 
-        def on_answer(done: Future[Any]) -> None:
-            answer = None if done.exception() is not None else done.result()
+        def on_answer(finished: Future[Any]) -> None:
+            answer = None if finished.exception() is not None else finished.result()
             if isinstance(answer, ProposeReply):
                 on_result(answer.result)
                 return
--- a/berylnotch/daemon/syncing.py
+++ b/berylnotch/daemon/syncing.py
@@ -36,7 +36,10 @@
 
 @frozen
 class _DelayedReply:
-    """A request whose reply is delayed, at the latest until its deadline."""
+    """A request whose reply is delayed, at the latest until its deadline.
+
+    The deadline is a monotonic time in seconds.
+    """
 
     version: int
     deadline: float
@@ -105,8 +108,8 @@
     def _build_reply(self, now: float, version: int) -> SyncReply:
         source = self._source
         events = source.events_after(version) if version <= source.version else None
-        # The source lags behind this subscriber, which needs neither events nor a
-        # snapshot.
+        # If the source lags behind the subscriber, the subscriber needs neither events
+        # nor a snapshot.
         if version > source.version:
             events = ()
         return SyncReply(
