--- a/berylnotch/daemon/controller/members.py
+++ b/berylnotch/daemon/controller/members.py
@@ -171,8 +171,8 @@
             return
         member = answer.member
         if member.name != change.request.add_name:
-            message = f"the controller at {change.request.add_address} is {member.name}"
-            self._finish(Refused(message))
+            reason = f"the controller at {change.request.add_address} is {member.name}"
+            self._finish(Refused(reason))
             return
         domain = change.request.add_failure_domain or member.failure_domain
         change.joining = evolve(member, failure_domain=domain)
--- a/berylnotch/daemon/controller/reads.py
+++ b/berylnotch/daemon/controller/reads.py
@@ -124,8 +124,8 @@
         return ControllerLine(member, True, replica.last_index, 0)
     progress = replica.progress.get(member.replica)
     if progress is None or math.isinf(progress.last_contact_at):
-        match = progress.match_index if progress is not None else 0
-        return ControllerLine(member, False, match, -1)
+        match_index = progress.match_index if progress is not None else 0
+        return ControllerLine(member, False, match_index, -1)
     heard_ms = int((now - progress.last_contact_at) * 1000)
     return ControllerLine(member, False, progress.match_index, heard_ms)
 
--- a/berylnotch/daemon/controller/routers.py
+++ b/berylnotch/daemon/controller/routers.py
@@ -24,7 +24,7 @@
 
 @frozen
 class _ReceivedHeartbeat:
-    """Newest heartbeat of a router and its monotonic time in seconds."""
+    """Newest heartbeat of a router, received at a monotonic time in seconds."""
 
     received_at: float
     request: GrantRequest
--- a/berylnotch/daemon/fleet/operators.py
+++ b/berylnotch/daemon/fleet/operators.py
@@ -128,15 +128,20 @@
 
     def _name_weights(self, connection: ServerConnection, request: HttpRequest) -> None:
         try:
-            named = decode_weights_name(request)
+            named_weights = decode_weights_name(request)
         except GatewayError as error:
             self._answer(connection, request, 400, str(error))
             return
-        if named.version <= self._state.wanted_version(named.name):
+        if named_weights.version <= self._state.wanted_version(named_weights.name):
             self._answer(connection, request, 200, "known already")
             return
-        command = pack(NameWeights(named.name, named.version))
-        self._commit(connection, request, command, f"{named.name} {named.version}")
+        command = pack(NameWeights(named_weights.name, named_weights.version))
+        self._commit(
+            connection,
+            request,
+            command,
+            f"{named_weights.name} {named_weights.version}",
+        )
 
     def _commit(
         self,
@@ -148,10 +153,10 @@
         started_at = boot_time()
 
         def on_outcome(is_committed: bool) -> None:
-            took_s = boot_time() - started_at
+            duration_s = boot_time() - started_at
             if is_committed:
                 self._answer(
-                    connection, request, 200, f"{description} after {took_s:.3f} s"
+                    connection, request, 200, f"{description} after {duration_s:.3f} s"
                 )
             else:
                 self._answer(
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -61,8 +61,8 @@
 QUOTA_CHECK_INTERVAL_S = 0.05
 
 #: Seconds for which callers may cache the list of router addresses. Some callers
-#: cache it three times as long, so a draining router accepts requests for at least
-#: three times this duration.
+#: cache it three times as long, so a draining router accepts requests for three
+#: times this duration.
 ADDRESS_TTL_S = 1.2
 
 #: Longest time for which callers cache an address list, as a multiple of its TTL.
@@ -214,10 +214,10 @@
 
         def check_drained() -> None:
             now = boot_time()
-            is_done = now >= accept_until and not self._exchanges
+            has_drained = now >= accept_until and not self._exchanges
             is_quiet = now - self._caller_server.accepted_at >= QUIET_PERIOD_S
             if (
-                is_done
+                has_drained
                 and is_quiet
                 and self._caller_server.busy_count == 0
                 or now >= exit_at
--- a/berylnotch/daemon/fleet/watch.py
+++ b/berylnotch/daemon/fleet/watch.py
@@ -54,8 +54,8 @@
         Address of the server that provides the list.
     period_s : float
         Pause between two readings, in seconds.
-    rate : float
-        Rate limit of the list, in calls a second.
+    calls_per_s : float
+        Rate limit of the list, in calls per second.
     on_page : callable
         Called with the targets of each page except the last.
     on_list : callable
@@ -69,7 +69,7 @@
         loop: Loop,
         address: Address,
         period_s: float,
-        rate: float,
+        calls_per_s: float,
         on_page: Callable[[tuple[ListedTarget, ...]], None],
         on_list: Callable[[tuple[ListedTarget, ...]], None],
         log: EventLog,
@@ -85,7 +85,7 @@
         self._skipped = 0
         self._page_count = 0
         self._page_token = ""
-        self._min_pause_s = self._pause_s = 1 / (RATE_SHARE * rate)
+        self._min_pause_s = self._pause_s = 1 / (RATE_SHARE * calls_per_s)
         #: Whether the last call was rate-limited, and whether any call of the current
         #: reading was.
         self._is_last_call_limited = False
