--- a/berylnotch/server/app.py
+++ b/berylnotch/server/app.py
@@ -30,7 +30,7 @@
     from berylnotch.server.context import Context
     from berylnotch.server.engine import RequestPath
 
-#: Prefix of the paths that the router answers itself.
+#: Prefix of the paths that the router serves without a target.
 SYSTEM_PREFIX = "/berylnotch/"
 ADDRESS_PATH = SYSTEM_PREFIX + "address"
 HEALTH_PATH = SYSTEM_PREFIX + "health"
@@ -61,7 +61,7 @@
         timeout_s: float,
         is_idempotent: bool,
     ) -> Job:
-        """Return the job of this request, without the fields of a language call."""
+        """Return the job of this request, without the fields for a language call."""
         return Job(
             request=self.caller,
             key=self.key,
@@ -79,8 +79,8 @@
 class App:
     """Reads and checks requests, and hands them to the request path.
 
-    Runs in the HTTP server's threads. It only reads the view, and needs no lock
-    because the view is replaced or extended by single operations.
+    Runs in the HTTP server's threads. These only read the view, and need no lock
+    because the event loop replaces or extends the view by single operations.
 
     Parameters
     ----------
@@ -186,7 +186,8 @@
         organisation_name = resolved.organisation_name
         piece_bytes = self._context.settings.placement.piece_bytes
         prompt = Prompt(organisation_name, service.name, call.prompt, piece_bytes)
-        # Hashes the prefix chain here, to keep this work out of the loop's thread.
+        # Compute the prefix hashes in this thread; in the event loop's thread they
+        # would delay other requests.
         prompt.chain(service.weights)
         job = resolved.make_job(
             service,
--- a/berylnotch/server/attempts.py
+++ b/berylnotch/server/attempts.py
@@ -29,17 +29,17 @@
     from berylnotch.server.job import Job
     from berylnotch.streams.actions import StartAttempt
 
-#: Expected work of a request at a plain service, in seconds.
+#: Expected processing time of a request to a plain service, in seconds.
 _PLAIN_WORK_S = 0.01
 #: Characters that are not percent-encoded in a path.
 _PATH_SAFE_CHARACTERS = "/:@!$&'()*+,;=~-._"
-#: Paths of an engine; the key tells whether the request is a chat completion.
+#: Paths of an engine, keyed by whether the request is a chat completion.
 _ENGINE_PATHS = {True: "/v1/chat/completions", False: "/v1/completions"}
 
 
 @frozen
 class TargetChoice:
-    """A chosen target, its ranking, and the expected work in seconds."""
+    """A chosen target, its rank, and the expected processing time in seconds."""
 
     target: Target
     ranked: Ranked
@@ -82,7 +82,7 @@
         return next(unavailable, "")
 
     def choose(self, job: Job, action: StartAttempt) -> TargetChoice | None:
-        """Choose a target, or return None if none can take the attempt."""
+        """Choose a target, or return None if no target can take the attempt."""
         now = time.monotonic()
         avoided = self._context.guard.targets_to_avoid(now, job.fingerprint)
         ranked = self._rank(now, job, action, action.exclude | avoided)
@@ -91,8 +91,8 @@
             # suspects, but is not refused if no other target can take it.
             ranked = self._rank(now, job, action, action.exclude)
         if not ranked:
-            # Ejected targets may have recovered, unlike targets that have just
-            # failed this request.
+            # Include ejected targets: they may have recovered, whereas the excluded
+            # targets have just failed this request.
             ranked = self._rank(now, job, action, action.exclude, True)
         if not ranked and action.exclude:
             # Retrying a target that failed this request is better than no attempt.
@@ -134,8 +134,8 @@
         )
         if job.language is not None:
             generation = self._make_generation_request(job)
-            resume = action.resume_after
-            return build_generation(address, generation, timeout_s, resume)
+            resume_after = action.resume_after
+            return build_generation(address, generation, timeout_s, resume_after)
         plain = PlainRequest(
             method=job.request.method,
             path=quote(job.request.path, safe=_PATH_SAFE_CHARACTERS),
--- a/berylnotch/server/caller.py
+++ b/berylnotch/server/caller.py
@@ -1,6 +1,7 @@
-"""Caller's connection after its detachment from the HTTP server.
+"""Buffered connection to a caller, detached from the HTTP server.
 
-Writes are non-blocking; two water marks provide backpressure.
+Writes are non-blocking. Backpressure starts when the buffer exceeds the high-water
+mark and ends when the buffer falls below the low-water mark.
 """
 
 from __future__ import annotations
@@ -17,7 +18,8 @@
 LOW_WATER_BYTES = 32 * 1024
 
 _DISCARD_READ_BYTES = 64 * 1024
-#: Seconds in which the caller has to read the last bytes of an answer.
+#: Seconds after the end of an answer until the connection is closed, even if the
+#: caller has not read the last bytes.
 _FLUSH_TIMEOUT_S = 30.0
 
 
@@ -31,7 +33,8 @@
     sock : socket.socket
         Non-blocking socket.
     on_drained : callable
-        Called when a full buffer has fallen below the low-water mark.
+        Called when the buffer, after exceeding the high-water mark, falls below the
+        low-water mark.
     on_disconnected : callable
         Called once if the caller closes or the connection fails.
     """
@@ -76,7 +79,8 @@
         if self._closed or not data:
             return
         if not self._buffer:
-            # The socket nearly always accepts all bytes, and no event is needed.
+            # The socket nearly always accepts all bytes, so that waiting for it to
+            # become writable is not needed.
             data = self._send(data)
         if data:
             self._buffer += data
--- a/berylnotch/server/claims.py
+++ b/berylnotch/server/claims.py
@@ -41,8 +41,9 @@
 OPEN_TIMEOUT_S = 4.0
 #: Seconds for which the proposal of an outcome is retried.
 _CLOSE_TIMEOUT_S = 60.0
-#: Seconds after which the answer is sent although the outcome is not committed.
+#: Longest time, in seconds, for which an answer waits until its outcome is committed.
 _ANSWER_HOLD_LIMIT_S = 3.0
+#: Seconds after which a caller may retry a request that is still running.
 _IN_PROGRESS_RETRY_S = 1.0
 
 
@@ -67,8 +68,8 @@
     ) -> None:
         """Propose a claim for the job and call ``on_claimed`` if it is committed.
 
-        Otherwise ``on_refused`` is called, or ``on_replayed`` after a stored answer
-        was written.
+        Otherwise ``on_refused`` is called; if an earlier claim has a stored answer,
+        the answer is written to the caller and ``on_replayed`` is called.
         """
         attempt = secrets.token_hex(8)
         command = OpenClaim(
@@ -82,11 +83,13 @@
         timeout_s = min(OPEN_TIMEOUT_S, job.deadline - requested_at)
 
         def on_result(result: Result | None) -> None:
-            # While its process is suspended, a router may be considered lost and
-            # its claim settled as not run; then the request must not run any more.
+            # While this router's process is suspended, the leader may consider the
+            # router lost and settle the claim as not run. After such a settlement
+            # the request must not run.
             is_late = time.monotonic() - requested_at > OPEN_TIMEOUT_S
             if result is None or (is_late and result.status is Status.OK):
-                # The claim may be committed nevertheless, and must not stay open.
+                # The claim may have been committed all the same, and must not stay
+                # open.
                 self._propose_close(job, attempt, ClaimState.NOT_RUN)
                 on_refused(_unavailable_refusal())
             elif result.status is Status.OK:
@@ -103,7 +106,7 @@
     def close(self, job: Job, finish: Finish, on_closed: Callable[[], None]) -> None:
         """Record the outcome, then call ``on_closed`` once.
 
-        The call comes after `_ANSWER_HOLD_LIMIT_S` at the latest.
+        ``on_closed`` is called after `_ANSWER_HOLD_LIMIT_S` at the latest.
         """
         called = False
 
--- a/berylnotch/server/context.py
+++ b/berylnotch/server/context.py
@@ -37,7 +37,7 @@
         self._decisions: OrderedDict[str, WhyReply] = OrderedDict()
 
     def record(self, decision: WhyReply) -> None:
-        """Store a choice; it replaces an earlier one of the same request."""
+        """Store a choice, replacing an earlier choice for the same request."""
         self._decisions[decision.request_id] = decision
         self._decisions.move_to_end(decision.request_id)
         if len(self._decisions) > _MAX_DECISIONS:
--- a/berylnotch/server/delivery.py
+++ b/berylnotch/server/delivery.py
@@ -20,15 +20,15 @@
     from berylnotch.server.needs import TokenDemand
 
 _GAP_METRIC = "berylnotch_event_gap_seconds"
-#: Seconds for which the rest of a finished answer waits for tokens.
+#: Seconds for which the held bytes of a finished answer wait for tokens.
 _CHARGE_TIMEOUT_S = 60.0
 
 
 class Delivery:
     """Charges generated tokens to the organisation, then writes their bytes.
 
-    Bytes that the organisation has no tokens for are held in the job, and the
-    stream is paused; no bytes are sent before their tokens are charged.
+    If the organisation's tokens do not suffice, the bytes are held in the job and
+    the stream is paused. No bytes are sent before their tokens are charged.
 
     Parameters
     ----------
@@ -92,7 +92,7 @@
         self._remove_demand(job)
 
     def retry(self) -> None:
-        """Retry the jobs that wait for tokens, after a grant."""
+        """Charge and write the held bytes of waiting jobs after a grant of tokens."""
         for job in tuple(self._waiting_jobs.values()):
             self._send_uncharged(job)
 
--- a/berylnotch/server/engine.py
+++ b/berylnotch/server/engine.py
@@ -1,4 +1,4 @@
-"""Request path of a router: from a checked request to the end of its answer."""
+"""Processing of requests in a router, from admission to the end of the answer."""
 
 from __future__ import annotations
 
@@ -75,12 +75,12 @@
             context, self._selector, self._demand, self._start_or_claim, self._refuse
         )
         self._was_fresh = False
-        self._closing: set[Job] = set()
+        self._closing_jobs: set[Job] = set()
 
     @property
     def running(self) -> int:
         """Number of requests that have not ended or whose last bytes are not sent."""
-        return len(self._context.jobs) + len(self._closing)
+        return len(self._context.jobs) + len(self._closing_jobs)
 
     def start(self) -> None:
         """Start the periodic checks of freshness, deadlines and queues."""
@@ -153,7 +153,7 @@
         return None
 
     def _start_or_claim(self, job: Job) -> None:
-        # The key may have been withdrawn, or freshness lost, while queued.
+        # While the job was queued, the key may have been withdrawn or freshness lost.
         if job.key_hash:
             refusal = self._check_key(job, time.monotonic())
             if refusal is not None:
@@ -180,7 +180,8 @@
             return
         if job.has_ended:
             # The caller disconnected before the claim was committed. The request
-            # runs all the same, since the claim promises an outcome to a resend.
+            # still runs, because a caller that sends it again with the same
+            # idempotency key expects the outcome.
             logger.info("event=claim_without_caller request={}", job.request.request_id)
         self._start(job)
 
@@ -263,14 +264,16 @@
         job.has_ended = True
         self._context.jobs.discard(job)
         if not job.caller.is_closed:
-            self._closing.add(job)
-        # Freed slots are used after the current call returns, since the call may
-        # come from a queue.
+            self._closing_jobs.add(job)
+        # Dispatch to the freed slot after the current call returns, because the call
+        # may come from an admission queue that is being processed.
         self._context.loop.call_soon(lambda: self._admission.dispatch(job.service.name))
 
     def _tick(self) -> None:
         self._check_freshness()
-        self._closing = {job for job in self._closing if not job.caller.is_closed}
+        self._closing_jobs = {
+            job for job in self._closing_jobs if not job.caller.is_closed
+        }
         self._admission.refuse_expired()
         self._admission.dispatch_all()
 
--- a/berylnotch/server/handover.py
+++ b/berylnotch/server/handover.py
@@ -22,14 +22,15 @@
 
 #: Threads that read and check requests; streaming uses none of them.
 _WORKER_THREADS = 16
-#: Seconds in which a caller has to send the next bytes of a request.
+#: Longest time, in seconds, that the server waits for the next bytes of a request.
 _READ_TIMEOUT_S = 10
+#: Connections that may wait to be accepted.
 _BACKLOG = 1024
 _MAX_HEADER_BYTES = 64 * 1024
 
 
 class _Connection(HTTPConnection):
-    """Connection that leaves its socket open after it was detached."""
+    """Connection that does not shut down its socket after a detachment."""
 
     is_detached = False
 
@@ -47,8 +48,8 @@
         return environ
 
     def _detach(self) -> socket.socket:
-        # The server closes its own descriptor without a shutdown, so that the
-        # duplicate keeps the connection.
+        # The server closes its own descriptor without shutting the connection down,
+        # so that the connection stays usable through the duplicate descriptor.
         request = self.req
         request.sent_headers = True
         request.chunked_write = False
@@ -101,5 +102,5 @@
         self._server.serve()
 
     def close(self) -> None:
-        """Stop accepting, and finish the requests that are being read."""
+        """Stop accepting connections, and finish the requests that are being read."""
         self._server.stop()
--- a/berylnotch/server/intake.py
+++ b/berylnotch/server/intake.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from werkzeug import Request
 
-#: Prompt bytes that the estimate of prompt tokens counts as one token.
+#: Assumed number of prompt bytes per token, to estimate prompt tokens.
 BYTES_PER_TOKEN = 4
 #: Longest idempotency key, in characters.
 MAX_IDEMPOTENCY_KEY_LENGTH = 200
@@ -60,7 +60,7 @@
     prompt_tokens : int
         Estimated tokens of the prompt.
     max_tokens : int
-        Limit of generated tokens; 0 if the caller set none.
+        Limit of generated tokens; 0 if the caller set no limit.
     """
 
     model: str
@@ -143,7 +143,7 @@
 
 
 def request_id(request: Request) -> str:
-    """Return the request id that the caller sent if it is valid, or a new one."""
+    """Return the caller's request id if it is valid, or a new request id."""
     caller_id = request.headers.get("X-Request-Id", "")
     if caller_id and len(caller_id) <= _MAX_REQUEST_ID_LENGTH and caller_id.isascii():
         if all(char.isalnum() or char in "-_." for char in caller_id):
--- a/berylnotch/server/job.py
+++ b/berylnotch/server/job.py
@@ -47,9 +47,9 @@
     Parameters
     ----------
     request : CallerRequest
-        What the caller sent, without its key.
+        The request as the caller sent it, without the key.
     key : str
-        The caller's key, to keep it from targets; empty on an open route.
+        The caller's key, which must not be sent to targets; empty on an open route.
     key_hash : bytes
         Keyed hash by which the key is looked up; empty on an open route.
     organisation : Organisation or None
@@ -57,9 +57,10 @@
     route : Route
         Route that the request's path matched.
     service : Service
-        Service that answers.
+        Service whose target answers the request.
     fingerprint : bytes
-        Identity of organisation, path and body, for crash reports and resumption.
+        Hash of organisation, path and body, which identifies the request in crash
+        reports and when a stream is resumed.
     arrived_at : float
         Monotonic time of arrival.
     deadline : float
@@ -75,11 +76,12 @@
     uncharged : list of UnchargedBytes
         Bytes held until their tokens are charged.
     claim_attempt : str
-        Identifier of the claim under which the request runs; empty if none.
+        Identifier of the claim under which the request runs; empty without a claim.
     held_actions : list of Action
         Answer to a claimed request, held until the outcome is recorded.
     pending_finish : callable or None
-        Ends an answer whose last bytes wait for tokens; None if no end is due.
+        Ends an answer whose last bytes wait for tokens; None while no answer waits
+        to be ended.
     is_poison : bool
         Whether the request is refused because targets were lost running it.
     """
--- a/berylnotch/server/judging.py
+++ b/berylnotch/server/judging.py
@@ -36,10 +36,10 @@
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._budgets: dict[str, RetryBudget] = {}
+        self._retry_budgets: dict[str, RetryBudget] = {}
 
     def is_refused(self, job: Job, now: float) -> bool:
-        """Return whether losses of targets bar the request, and set ``is_poison``."""
+        """Return whether losses forbid another attempt, and set ``is_poison``."""
         job.is_poison = self._context.guard.is_refused(
             now, job.fingerprint, self._context.reported_losses
         )
@@ -51,10 +51,10 @@
         The budget limits retries to a fraction of the first attempts. The
         resumption of a stream that has begun is always allowed.
         """
-        budget = self._budgets.get(job.service.name)
+        budget = self._retry_budgets.get(job.service.name)
         if budget is None:
             budget = RetryBudget(self._context.settings.retry)
-            self._budgets[job.service.name] = budget
+            self._retry_budgets[job.service.name] = budget
         if action.number == 1:
             budget.earn()
             return True
@@ -67,7 +67,7 @@
             self._context.placer.target_lost(attempt.target)
 
     def on_attempt_failed(self, job: Job, action: AttemptFailed) -> None:
-        """Record an attempt that ended without an answer."""
+        """Record a failed attempt."""
         now = time.monotonic()
         if action.cause in _NEUTRAL_CAUSES:
             self._context.health.abandon(job.attempt.dispatch)
@@ -98,8 +98,8 @@
         else:
             self._context.health.abandon(attempt.dispatch)
         if action.reason is FinishReason.TARGET_FAILED:
-            # The loss that ended the exchange may have been the second, after which
-            # the request is refused.
+            # The loss that ended the exchange may have been the second loss of a
+            # target; after two losses the request is refused.
             self.is_refused(job, now)
 
     def _record_loss(self, job: Job, action: AttemptFailed, now: float) -> None:
--- a/berylnotch/server/needs.py
+++ b/berylnotch/server/needs.py
@@ -1,4 +1,4 @@
-"""Demand for tokens of each organisation's waiting requests."""
+"""Tokens for which the waiting requests of each organisation wait."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @frozen
 class _Demand:
-    """Tokens that a request waits for, and the fewest with which it can proceed."""
+    """Tokens for which a request waits, and the fewest that let it proceed."""
 
     tokens: int
     min_tokens: int
@@ -27,7 +27,8 @@
     quota : LocalQuota
         Receives the demand of each organisation.
     request_grant : callable
-        Called on new demand, to request a grant from the owner soon.
+        Called on new demand, to request a grant from the quota's owner without
+        waiting for the next heartbeat.
     """
 
     def __init__(self, quota: LocalQuota, request_grant: Callable[[], None]) -> None:
--- a/berylnotch/server/polling.py
+++ b/berylnotch/server/polling.py
@@ -17,10 +17,10 @@
     from berylnotch.gateways.load import TargetLoad
     from berylnotch.server.context import Context
 
-#: Seconds between two reports of one engine in a small fleet.
+#: Seconds between two polls of an engine in a small fleet.
 INTERVAL_S = 0.5
-#: Most reports that a router fetches per second; in a larger fleet it polls each
-#: engine less often.
+#: Upper bound of load reports that a router fetches per second; a router of a larger
+#: fleet polls each engine less often.
 MAX_REPORTS_PER_S = 40.0
 _TIMEOUT_S = 1.0
 _TICK_S = 0.05
--- a/berylnotch/server/runner.py
+++ b/berylnotch/server/runner.py
@@ -1,4 +1,4 @@
-"""Execution of exchanges: performs their actions and passes them events."""
+"""Execution of exchanges: performs their actions and passes events to them."""
 
 from __future__ import annotations
 
@@ -109,13 +109,14 @@
         self.perform(job, job.exchange.caller_gone(time.monotonic()))
 
     def perform(self, job: Job, actions: Iterable[Action]) -> None:
-        """Perform actions, and the actions that follow from them."""
+        """Perform actions, and the further actions that result from them."""
         pending = deque(actions)
         try:
             while pending:
                 pending.extend(self._perform(job, pending.popleft()))
         except Exception:
-            # An internal error in one request must not hang its caller or end others.
+            # An internal error must neither leave the caller without an answer nor
+            # end other requests.
             logger.exception("event=request_failed request={}", job.request.request_id)
             self.abort(job)
 
@@ -221,7 +222,8 @@
     def _on_body(self, job: Job, attempt: Attempt, data: bytes) -> None:
         now = time.monotonic()
         self._context.health.first_token(attempt.dispatch)
-        # After a suspension of the process, data may arrive before timers run.
+        # After a suspension of the process, data may be read before the timer that
+        # checks freshness runs.
         self._check_freshness()
         self.perform(job, job.exchange.body(now, attempt.number, data))
         if job.caller.is_full:
