--- a/berylnotch/streams/actions.py
+++ b/berylnotch/streams/actions.py
@@ -50,7 +50,8 @@
     Attributes
     ----------
     number : int
-        Number of the attempt, from 1; every later input of this attempt carries it.
+        Number of the attempt, from 1; the inputs that concern this attempt carry the
+        same number.
     exclude : frozenset of str
         Targets that failed this request since the last event was delivered.
     resume_after : int
@@ -90,7 +91,7 @@
     target : str
         Target that failed.
     cause : FailureCause
-        Why it failed.
+        Why the attempt failed.
     """
 
     number: int
--- a/berylnotch/streams/answers.py
+++ b/berylnotch/streams/answers.py
@@ -9,7 +9,7 @@
 from berylnotch.streams.scanner import EventScanner
 from berylnotch.streams.sequence import EventSequence, NumberedEvents
 
-#: Last event of a stream.
+#: Event that marks the end of a stream.
 END_MARKER = b"data: [DONE]\n\n"
 
 _NO_EVENTS = NumberedEvents(b"", 0)
--- a/berylnotch/streams/attempts.py
+++ b/berylnotch/streams/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one exchange: failed targets, run state and retry decisions."""
+"""Records of the attempts of one exchange, and decisions on retries."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
     number : int
         Number of the attempt, from 1.
     target, weights : str
-        Target, and its weights version according to the router's state.
+        Target, and the target's weights version according to the router's view.
     is_started : bool
         Whether bytes of the request may have reached the target.
     head : ResponseHead or None
         Head of the response.
     response : StreamedResponse, BufferedResponse or None
-        Response; None until its head is accepted.
+        Response; None until the response's head is accepted.
     has_events : bool
         Whether an event has arrived.
     held_chunks : list of bytes
@@ -61,7 +61,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Number of bytes buffered for the attempt, in the response and on hold."""
+        """Number of bytes buffered in the response and in held chunks."""
         response_bytes = (
             self.response.buffered_bytes if self.response is not None else 0
         )
@@ -74,7 +74,7 @@
         self.is_started = True
 
     def hold_chunk(self, data: bytes, limit_bytes: int) -> bool:
-        """Hold a chunk until the exchange resumes; return False if over the limit."""
+        """Hold a chunk while the exchange is paused; return False above the limit."""
         if self.held_bytes + len(data) > limit_bytes:
             return False
         self.held_chunks.append(data)
@@ -99,7 +99,7 @@
     """Counts the attempts of an exchange and decides on retries.
 
     Before the first event, the number of attempts without progress is limited to
-    ``max_attempts``, because the caller can repeat its request. After the first
+    ``max_attempts``, because the caller can repeat the request. After the first
     event, attempts continue for ``resume_patience_s`` seconds without progress, up
     to ``max_attempts_total`` in all.
     """
@@ -142,7 +142,7 @@
         return Attempt(self._attempt_count)
 
     def discard_attempt(self, now: float) -> None:
-        """Remove the newest attempt from the count, because it had no target."""
+        """Remove the newest attempt, for which no target was found, from the count."""
         self._attempt_count -= 1
         if self._stalled_since is None:
             self._stalled_since = now
@@ -169,9 +169,9 @@
         attempt : Attempt
             Attempt that failed.
         cause : FailureCause
-            Why it failed.
+            Why the attempt failed.
         not_run : bool
-            Whether it is proven that the target didn't run the request.
+            Whether the target is known not to have run the request.
         position : int
             Number of the last event delivered.
         """
--- a/berylnotch/streams/exchange.py
+++ b/berylnotch/streams/exchange.py
@@ -53,7 +53,7 @@
 
 
 class Exchange:
-    """State machine of one caller's request, without input or output of its own.
+    """State machine of one caller's request; performs no input or output.
 
     Each input method returns the actions that the driver has to carry out, in
     order. Inputs of an attempt that is no longer in progress are ignored.
@@ -251,7 +251,7 @@
         return self._start_attempt(now)
 
     def _next_timer_time(self) -> float:
-        """Return the time of the next attempt's start or of the current timeout."""
+        """Return the time, in seconds, of the next start or the current timeout."""
         attempt = self._attempt
         if self._is_start_pending and not self._pause_reasons:
             return self._next_start_time
@@ -299,7 +299,7 @@
         elif not response.is_ended:
             return _NO_ACTIONS
         elif not self.position:
-            # A crashing engine may send an end marker and no events.
+            # An engine that crashes may send an end marker without any event.
             return self._fail_attempt(now, FailureCause.EMPTY)
         return self._deliver_events(attempt, numbered.data, numbered.events)
 
@@ -354,7 +354,8 @@
             return _NO_ACTIONS
         if not self._request.idempotent:
             return self._fail_attempt(now, FailureCause.TOO_LARGE)
-        # After the pause, the next attempt requests the held events again.
+        # The held chunks exceed the limit and are dropped. After the pause, the next
+        # attempt requests their events again.
         self._attempt = None
         self._tracker.record_cancellation(attempt)
         self._is_start_pending = True
@@ -380,16 +381,16 @@
         attempt = self._attempt
         self._attempt = None
         cancel_actions = (CancelAttempt(attempt.number),) if cancel else _NO_ACTIONS
-        failed = AttemptFailed(attempt.number, attempt.target, cause)
+        failed_action = AttemptFailed(attempt.number, attempt.target, cause)
         self._tracker.record_failure(now, attempt, cause, not_run, self.position)
         if self._tracker.can_retry(now, not_run):
-            follow_up = self._start_after_backoff(now)
+            follow_up_actions = self._start_after_backoff(now)
         else:
             message = f"attempt failed: {cause.value}"
-            follow_up = self._end_exchange(
+            follow_up_actions = self._end_exchange(
                 finish_reason_after_failure(cause, not_run), message
             )
-        return (*cancel_actions, failed, *follow_up)
+        return (*cancel_actions, failed_action, *follow_up_actions)
 
     def _cancel(self, reason: FinishReason, message: str) -> tuple[Action, ...]:
         if self._is_finished:
@@ -410,7 +411,8 @@
         return (finish,)
 
     def _build_finish(self, reason: FinishReason, message: str = "") -> Finish:
-        # The mark has to be read before the attempt, which may have run, is cleared.
+        # Read the mark before the attempt is cleared, because the mark depends on
+        # whether the attempt may have run.
         mark = self.mark
         self._attempt = None
         self._is_finished = True
--- a/berylnotch/streams/scanner.py
+++ b/berylnotch/streams/scanner.py
@@ -31,7 +31,8 @@
     is_ended : bool
         Whether the end marker has been seen, in this chunk or an earlier one.
     end_number : int
-        Event number of the end marker; 0 if it has none or has not been seen.
+        Event number of the end marker; 0 if the marker has no number or has not been
+        seen.
     """
 
     complete: bytes
@@ -133,7 +134,7 @@
         marker_start = complete.rfind(_BOUNDARY, 0, match.start()) + 2
         if marker_start < 2:
             marker_start = 0
-        number = _END_MARKER_ID.search(complete[marker_start : match.start()])
-        if number is not None:
-            self._end_number = int(number.group(1))
+        id_match = _END_MARKER_ID.search(complete[marker_start : match.start()])
+        if id_match is not None:
+            self._end_number = int(id_match.group(1))
         return complete[:marker_start]
--- a/berylnotch/streams/sequence.py
+++ b/berylnotch/streams/sequence.py
@@ -1,4 +1,4 @@
-"""Checks event numbers of a stream for gaps and rewrites the event ids."""
+"""Detection of gaps in a stream's event numbers, and rewriting of event ids."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 _BOUNDARY = b"\n\n"
 _ID_FIELD = b"id: "
-# The search is several times faster for a pattern that begins with a literal than
-# for one that begins with an alternation.
+# The pattern begins with a literal, because a search for a pattern that begins with
+# an alternation is several times slower.
 _EVENT_ID = re.compile(rb"\n\nid: (\d+)\n")
 _ID_LINE = re.compile(rb"(?:\A|\n)id: ?(\d+)(?=\n|\Z)")
 
@@ -54,7 +54,7 @@
 
     @property
     def position(self) -> int:
-        """Number of the last event passed on."""
+        """Number of the last event that was passed on to the caller."""
         return self._position
 
     def set_base(self, base: str) -> None:
@@ -73,13 +73,13 @@
         events : int
             Number of events in ``data``.
         end_number : int, default=0
-            Number of the end marker that follows the events; 0 if it has none.
+            Number of the end marker after the events; 0 without a numbered marker.
 
         Raises
         ------
         SequenceError
-            If an event is missing or has no number. The position then stays
-            unchanged, so that events before the gap are requested again.
+            If an event is missing or has no number. The position stays unchanged in
+            this case, so that the events before the gap are requested again.
         """
         first_number = self._position + 1
         if events == 1:
@@ -101,8 +101,10 @@
         # JSON contains no raw line feed, so the separator followed by "id: " can only
         # be the start of the next event.
         id_field = _ID_FIELD + self._base
-        rest = data[len(_ID_FIELD) :]
-        return id_field + rest.replace(_BOUNDARY + _ID_FIELD, _BOUNDARY + id_field)
+        other_events = data[len(_ID_FIELD) :]
+        return id_field + other_events.replace(
+            _BOUNDARY + _ID_FIELD, _BOUNDARY + id_field
+        )
 
     def _rewrite_each(self, data: bytes, end_number: int) -> NumberedEvents:
         position = self._position
