--- a/berylnotch/platform/__init__.py
+++ b/berylnotch/platform/__init__.py
@@ -1,4 +1,5 @@
 """Translation between the users' platform and this project's terms.
 
-It holds the platform's names, formats and calls, and makes no routing decisions.
+This package holds the platform's names, formats and calls. It makes no routing
+decisions.
 """
--- a/berylnotch/platform/fields.py
+++ b/berylnotch/platform/fields.py
@@ -9,6 +9,7 @@
 
 T = TypeVar("T")
 
+#: Default value of a field that must be present.
 _REQUIRED = object()
 
 
--- a/berylnotch/platform/moves.py
+++ b/berylnotch/platform/moves.py
@@ -20,8 +20,8 @@
     status : int
         HTTP status of the response.
     handle : str
-        Identifier of the copy, empty if there is none. After a call that stops the run,
-        a handle means that the run has stopped, even if the copy failed.
+        Identifier of the copy, empty if the response has none. If the call was to stop
+        the run, a handle means that the run has stopped, even if the copy failed.
     is_copied : bool
         Whether the copy is complete.
     """
@@ -69,7 +69,7 @@
         values = as_object(parse_json(response.body, is_strict=False), "refusal")
         return MoveAnswer(503, get_string(values, "handle", ""))
     except FieldError:
-        # A refusal may have a body that cannot be decoded.
+        # A refusal whose body cannot be decoded counts as one without a handle.
         return MoveAnswer(503)
 
 
--- a/berylnotch/platform/operators.py
+++ b/berylnotch/platform/operators.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's operators, and responses that list addresses."""
+"""Decoding of calls by operators, and encoding of address lists for callers."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 def caller_domain(request: HttpRequest) -> str:
-    """Return the failure domain of a caller that requests addresses, or empty."""
+    """Return the failure domain that an address request names, or an empty string."""
     return parse_qs(request.query).get("zone", [""])[0]
 
 
--- a/berylnotch/platform/requests.py
+++ b/berylnotch/platform/requests.py
@@ -1,4 +1,4 @@
-"""Headers of callers' requests, of requests to targets, and of their responses."""
+"""Decoding and encoding of the headers of requests and responses."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
         Tokens of the prompt, 0 if not stated.
     output_tokens : int
         Largest number of tokens that may be generated, 0 if not stated.
-    chain : Chain
+    chain : PrefixChain
         Prefixes that the prompt shares with other prompts.
     resume_after : int or None
-        Number of the last event that the caller has, None if it has none.
+        Number of the last event that the caller has received, None if not stated.
     """
 
     request_id: str
@@ -70,12 +70,13 @@
     weights_version : int or None
         Weights version that the target must have to execute the request.
     cache_salt : str, default=""
-        Salt that separates cache entries that must not be shared.
+        Salt of the cache keys, so that requests with different salts share no entries.
     fetch_from, save_to : str, default=""
         Addresses of the engine or store from which the engine fetches the prompt's KV
         cache, and of the store to which it saves it.
     resume_after : int or None
-        Number of the last event that must not be sent again.
+        Number of the last event that the caller has received, after which the target
+        resumes the stream.
     run_origin : str, default=""
         Location of the KV cache from which a stopped run resumes.
     """
@@ -111,7 +112,7 @@
     is_leaving : bool, default=False
         Whether the target accepts no new work.
     retry_after_s : float or None
-        Seconds in which the target shall get no request, None if not stated.
+        Seconds for which no request may be sent to the target, None if not stated.
     """
 
     request_id: str
@@ -124,7 +125,7 @@
 
 
 def decode_request(request: HttpRequest) -> CallerRequest:
-    """Decode the headers of a caller's request; malformed ones count as absent."""
+    """Decode the headers of a caller's request; malformed headers are ignored."""
     headers = request.headers
     scheme, _, key = headers.get(names.AUTHORIZATION).partition(" ")
     deadline_ms = _parse_number(headers.get(names.DEADLINE_MS))
@@ -150,7 +151,7 @@
 def encode_for_target(
     request: HttpRequest, target_headers: TargetHeaders
 ) -> HttpRequest:
-    """Return the request to a target: the caller's request with other headers."""
+    """Return the request to a target: the caller's request with replaced headers."""
     headers = request.headers.end_to_end()
     removed_names = set(names.SYSTEM_HEADERS)
     if target_headers.resume_after is not None:
@@ -203,10 +204,10 @@
     parts = []
     for item in text.split(","):
         part_id, _, tokens = item.strip().partition(":")
-        count = _parse_number(tokens)
-        if not part_id or count is None:
+        token_count = _parse_number(tokens)
+        if not part_id or token_count is None:
             return tuple(parts)
-        parts.append(PromptPart(part_id, int(count)))
+        parts.append(PromptPart(part_id, int(token_count)))
     return tuple(parts)
 
 
--- a/berylnotch/platform/targets.py
+++ b/berylnotch/platform/targets.py
@@ -1,4 +1,4 @@
-"""Requests for the platform's target list, engines' reports and weights orders."""
+"""Encoding and decoding of target lists, engine reports and weights orders."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
 )
 from berylnotch.util.address import parse_address
 
+#: Usable states of a target in the list, and whether the target is leaving.
 _IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
@@ -47,7 +48,7 @@
 
 @frozen
 class EngineReport:
-    """An engine's report of its own state, which lags by some hundred ms.
+    """An engine's report of its state, which may be some hundred milliseconds old.
 
     Parameters
     ----------
@@ -87,8 +88,8 @@
     target_id : str
         Identity that the engine must have to accept the order.
     orders_taken : int or None
-        Number of orders that the engine reported. The engine refuses the order if it
-        has accepted another one since. None omits this check.
+        Number of accepted orders in the engine's report. The engine refuses the order
+        if its number has changed since the report. None omits this check.
     """
 
     model: str
@@ -100,7 +101,7 @@
 
 
 def list_request(host: str, page_token: str) -> HttpRequest:
-    """Return the call for a page of the target list, the first one without a token."""
+    """Return the call for a page of the target list, the first without a token."""
     target = "/instances"
     if page_token:
         target += f"?pageToken={quote(page_token, safe='')}"
@@ -161,14 +162,14 @@
         "op": "version",
         "model": order.model,
         "version": order.version,
-        # The engine waits for its runs to finish before it loads: no stream is reset,
-        # and none continues with other weights.
+        # The engine finishes its runs before it loads the weights, so that no stream
+        # is reset or continues with other weights.
         "method": "wait",
         "holder": order.holder,
         "fence": order.epoch,
     }
     if order.orders_taken is not None:
-        # The engine refuses the order unless this is its number of accepted orders.
+        # The engine refuses the order if its number of accepted orders is another.
         body["expectedRev"] = order.orders_taken
     headers = Headers(
         (
