--- a/berylnotch/gateways/answers.py
+++ b/berylnotch/gateways/answers.py
@@ -42,9 +42,9 @@
     Raises
     ------
     BusyError
-        If the status is 429 or 503, which ask for fewer requests.
+        If the status is 429 or 503, by which a system asks for fewer requests.
     BadAnswerError
-        If the response has another status than 200, the body is too large, or it
+        If the response has another status than 200, or if the body is too large or
         does not decode to ``cls``.
     """
     if status in _BUSY_STATUSES:
--- a/berylnotch/gateways/engine.py
+++ b/berylnotch/gateways/engine.py
@@ -38,7 +38,7 @@
     address : str
         ``IP:PORT``.
     credential : str
-        The target's own credential; empty if it needs none.
+        Credential that the target requires; empty if none is required.
     """
 
     address: str
@@ -114,7 +114,7 @@
 
 
 def credential_headers(credential: str) -> tuple[Header, ...]:
-    """Return the header that carries a target's own credential, if it has one."""
+    """Return the header with a target's credential; empty without a credential."""
     if not credential:
         return ()
     return (Header("authorization", f"Bearer {credential}"),)
@@ -126,7 +126,7 @@
 
 
 def is_whole_answer(body: bytes) -> bool:
-    """Whether a body is a complete generation: a JSON object with a choice."""
+    """Return whether a body is a complete generation, a JSON object with choices."""
     try:
         response = json.loads(body)
     except ValueError:
@@ -135,7 +135,7 @@
 
 
 def completion_tokens(body: bytes) -> int:
-    """Return the generated tokens that a response reports, 0 if it reports none."""
+    """Return the generated tokens that a response reports, or 0."""
     try:
         return int(json.loads(body)["usage"]["completion_tokens"])
     except (ValueError, KeyError, TypeError):
--- a/berylnotch/gateways/fetch.py
+++ b/berylnotch/gateways/fetch.py
@@ -1,4 +1,4 @@
-"""Requests to external systems whose complete responses are decoded."""
+"""Sending of requests to external systems, and decoding of complete responses."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
         self._body = bytearray()
 
     def on_head(self, lines: tuple[bytes, ...]) -> None:
-        """Store the head."""
+        """Store the lines of the response's head."""
         self._head_lines = lines
 
     def on_body(self, data: bytes) -> None:
         """Store a part of the body, up to one byte above the limit.
 
-        The extra byte shows at the end that the body is too large.
+        The extra byte lets `on_end` recognise a body that is too large.
         """
         remaining_bytes = MAX_RESPONSE_BYTES + 1 - len(self._body)
         self._body += data[:remaining_bytes]
@@ -70,7 +70,8 @@
 ) -> None:
     """Send a request and decode its complete response.
 
-    It must be called in the loop's thread, where ``on_done`` is called too.
+    This function has to be called in the loop's thread, in which ``on_done`` is called
+    too.
 
     Parameters
     ----------
--- a/berylnotch/gateways/http.py
+++ b/berylnotch/gateways/http.py
@@ -1,4 +1,4 @@
-"""HTTP requests to targets and the heads of their responses."""
+"""Construction of HTTP requests to targets, and decoding of response heads."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
 
 _STATUS_LINE = re.compile(rb"HTTP/[0-9.]+ (\d{3})(?: |\r?\n|\Z)")
 _CONTROL_CHARACTERS = re.compile(r"[\x00-\x1f\x7f]")
+#: Length, in characters, below which a key is not searched for in requests.
 _MIN_KEY_LENGTH = 8
 
 
@@ -30,8 +31,8 @@
 class UpstreamRequest:
     """A request to a target.
 
-    It has no header that was not chosen explicitly: the headers of a caller's request
-    are never copied as a whole.
+    Each header is chosen explicitly; the headers of a caller's request are never
+    copied as a whole.
 
     Attributes
     ----------
@@ -84,7 +85,7 @@
 
 
 def contains_key(text: str, caller_key: str) -> bool:
-    """Whether text contains the caller's key, plain or percent-encoded."""
+    """Return whether text contains the caller's key, plain or percent-encoded."""
     if len(caller_key) < _MIN_KEY_LENGTH:
         return False
     return caller_key in text or caller_key in unquote_plus(text)
--- a/berylnotch/gateways/kvstore.py
+++ b/berylnotch/gateways/kvstore.py
@@ -23,7 +23,7 @@
     pieces : int
         Number of leading prefixes of the chain that the store holds.
     weights : str
-        Weights version that computed them.
+        Weights version that computed the stored prefixes.
     """
 
     pieces: int
--- a/berylnotch/gateways/load.py
+++ b/berylnotch/gateways/load.py
@@ -1,4 +1,4 @@
-"""Load reports of engines and plain services."""
+"""Requests for the load reports of engines and plain services."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     incarnation : str
         Identity of the target's process; empty for a plain service.
     weights : str
-        Weights version of the target; empty if it has none.
+        Weights version of the target; empty for a target without weights.
     loading, leaving : bool
-        Whether the target loads weights, or is about to leave.
+        Whether the target is loading weights, and whether it is about to leave.
     waiting, running, slots : int
         Number of queued requests, of running requests, and of requests that the
         target can run concurrently.
--- a/berylnotch/gateways/orders.py
+++ b/berylnotch/gateways/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, with the log index of their commit as fencing token."""
+"""Orders to engines; the fencing token is the log index of an order's commit."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     Attributes
     ----------
     fence : int
-        Highest fencing token that the engine has seen; 0 if it stores none.
+        Highest fencing token that the engine has seen; 0 if the engine stores none.
     version : str
-        Weights version that it will load.
+        Weights version that the engine will load.
     """
 
     version: str
--- a/berylnotch/gateways/vmlist.py
+++ b/berylnotch/gateways/vmlist.py
@@ -1,6 +1,6 @@
-"""The platform's list of live and leaving VMs.
+"""Requests for the platform's list of live and leaving VMs.
 
-The list lags behind the true state of the VMs.
+The list lags behind the actual state of the VMs.
 """
 
 from __future__ import annotations
--- a/berylnotch/gateways/weights.py
+++ b/berylnotch/gateways/weights.py
@@ -33,7 +33,7 @@
     versions: tuple[WeightsVersion, ...]
 
     def has_version(self, version: str) -> bool:
-        """Whether the store holds a version."""
+        """Return whether the store holds a version."""
         return any(entry.version == version for entry in self.versions)
 
 
@@ -46,6 +46,6 @@
 def read_versions(status: int, body: bytes) -> WeightsVersions:
     """Decode the versions; raises `BadAnswerError` or `BusyError`.
 
-    The store answers requests above its rate limit as busy.
+    `BusyError` also reports that the store's rate limit is exceeded.
     """
     return decode_response(WeightsVersions, status, body)
