--- a/berylnotch/net/client.py
+++ b/berylnotch/net/client.py
@@ -20,9 +20,9 @@
 
 _READ_BYTES = 64 * 1024
 
-#: Maximum overhead of one exchange in bytes, in addition to an overhead as large as the
-#: body. Overhead is every received byte outside the body of the response: heads,
-#: interim responses, responses to other requests, chunk sizes and trailers.
+#: Number of bytes by which the overhead of one exchange may exceed the length of the
+#: response's body. Overhead is every received byte outside this body: heads, interim
+#: responses, responses to other requests, chunk sizes and trailers.
 MAX_OVERHEAD_BYTES = 256 * 1024
 
 
@@ -52,7 +52,7 @@
     """Callbacks for the response to a request; each does nothing by default.
 
     `on_head` returns whether the response belongs to the request. A response to
-    another request is skipped, and the connection serves no further request.
+    another request is skipped, and the connection is not used again.
     """
 
     def on_head(self, head: ResponseHead) -> bool:
@@ -119,7 +119,7 @@
         self.idle_since = 0.0
         #: Idle timeout in seconds that the target announced in ``Keep-Alive``, if any.
         self.keep_alive_s: float | None = None
-        #: Called when the connection closes, also while it is idle.
+        #: Called when the connection closes, whether idle or in use.
         self.on_idle_close: Callable[[ClientConnection], None] | None = None
 
     @property
@@ -283,7 +283,7 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Prevent reuse if another response begins after the complete one."""
+        """Prevent reuse if another response begins after the response is complete."""
         if self._is_complete:
             self._is_reusable = False
 
@@ -319,11 +319,11 @@
         self._sink.on_body(data)
 
     def on_message_complete(self) -> None:
-        """Handle the end of a response; interim and skipped ones do not complete."""
+        """Handle the end of a response; drop an interim or skipped response."""
         if self._is_head_read and not self._is_skipping:
             self._is_complete = True
             return
-        # The response to the request follows, possibly in the same segment.
+        # The response to the current request may follow in the same segment.
         self._headers = Headers()
         self._is_head_read = False
         self._is_skipping = False
--- a/berylnotch/net/server.py
+++ b/berylnotch/net/server.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 server for callers.
 
-A connection serves one request at a time. Bytes that a caller sends meanwhile are
-buffered, and a close by the caller is detected at once.
+A connection serves one request at a time. While a request is served, further bytes from
+the caller are buffered, and a close by the caller is detected at once.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 
 _READ_BYTES = 64 * 1024
 
-#: Unsent output of a slow caller, in bytes, above which its source should pause.
+#: Unsent output to a caller, in bytes, above which the source of the output should
+#: pause.
 HIGH_WATER_BYTES = 256 * 1024
 
 #: Maximum number of bytes of pipelined requests that are buffered while a request is
@@ -32,8 +33,8 @@
 _LINGER_S = 1.0
 
 #: Minimum rate, in bytes per second, at which a caller has to send a request and read a
-#: response. A caller that is behind this rate by more than the idle time is
-#: disconnected.
+#: response. A caller is disconnected if a transfer takes longer than this rate allows
+#: plus the idle timeout.
 _MIN_BYTES_PER_S = 1024.0
 
 #: Seconds between two checks of all connections for exceeded time limits.
@@ -69,7 +70,8 @@
         #: Request that is being served, or None.
         self.request: HttpRequest | None = None
         self._last_active_at = boot_time()
-        #: Unsent bytes at the end of the last response; they extend its time limit.
+        #: Bytes that were unsent when the last response ended; they extend the time
+        #: limit for reading the response.
         self._backlog_bytes = 0
         #: Called once if the caller disconnects while its request is served.
         self.on_gone: Callable[[], None] | None = None
@@ -145,7 +147,7 @@
         self._close()
 
     def check_limits(self, now: float) -> None:
-        """Refuse a request that arrives too slowly; close if idle for too long."""
+        """Refuse a request that arrives too slowly; close an idle connection."""
         if self._is_closed or self.request is not None or self._is_lingering:
             return
         limits = self._server.limits()
@@ -158,8 +160,8 @@
             if is_slow or now - self._last_active_at > limits.idle_s:
                 self._refuse(408, "body took too long")
         elif self._output:
-            allowed_s = limits.idle_s + self._backlog_bytes / _MIN_BYTES_PER_S
-            if now - self._last_active_at > allowed_s:
+            max_idle_s = limits.idle_s + self._backlog_bytes / _MIN_BYTES_PER_S
+            if now - self._last_active_at > max_idle_s:
                 self._close()
         elif now - self._last_active_at > limits.idle_s:
             self._close()
--- a/berylnotch/net/sockets.py
+++ b/berylnotch/net/sockets.py
@@ -1,4 +1,4 @@
-"""Non-blocking TCP sockets: listening, connecting and keep-alive options."""
+"""Creation of non-blocking TCP sockets, and detection of dead peers."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
 
 
 def detect_dead_peer(sock: socket.socket, timeout_s: float) -> None:
-    """Let the kernel end the connection if the peer does not acknowledge in time.
+    """Make the kernel end the connection if the peer stops acknowledging data.
 
-    The socket also sends small segments without delay.
+    This function also disables Nagle's algorithm, so that the socket sends small
+    segments without delay.
 
     Parameters
     ----------
