--- a/berylnotch/transport/client.py
+++ b/berylnotch/transport/client.py
@@ -11,7 +11,7 @@
 from berylnotch.transport.peers import Peers
 from berylnotch.util.loop import Loop
 
-#: Back-off in seconds after an attempt that named no leader.
+#: Back-off in seconds after an attempt from which the leader is still unknown.
 _RETRY_DELAY_S = 0.2
 #: Maximum time in seconds of one attempt.
 _MAX_ATTEMPT_S = 15.0
@@ -28,7 +28,7 @@
     addresses : tuple of str
         Addresses, as ``IP:port``, of the controllers or of one router.
     identity : str
-        ``operator/NAME`` or ``vm/NAME``.
+        Identity of this process: ``operator/NAME`` or ``vm/NAME``.
     key : bytes
         Key of the identity.
     timeout_s : float, default=10.0
@@ -77,14 +77,14 @@
         Raises
         ------
         RefusedError
-            If the request is refused; it is not repeated.
+            If the request is refused; the client does not repeat the request.
         TransportError
             If no leader replied within the time limit.
         """
         limit_s = self._timeout_s if timeout_s is None else timeout_s
         deadline = time.monotonic() + limit_s
-        # The kernel accepts connections for a stopped process that never replies, so
-        # one attempt has to leave time for the other addresses.
+        # The kernel still accepts connections to a suspended process, which does not
+        # reply. Each attempt therefore has to leave time for the other addresses.
         attempt_timeout_s = min(limit_s / (len(self._addresses) + 1), _MAX_ATTEMPT_S)
         last_error: TransportError = NotLeaderError(
             "no address of a controller is configured"
--- a/berylnotch/transport/identity.py
+++ b/berylnotch/transport/identity.py
@@ -49,5 +49,5 @@
 
 
 def is_vm(identity: str) -> bool:
-    """Return whether the identity is one of the system's own processes."""
+    """Return whether the identity belongs to one of the system's own processes."""
     return identity.startswith(VM_PREFIX)
--- a/berylnotch/transport/link.py
+++ b/berylnotch/transport/link.py
@@ -15,7 +15,7 @@
 from berylnotch.util.clock import boot_time
 from berylnotch.util.loop import Loop
 
-#: First word of the close reason of a link whose peer sent nothing for too long.
+#: First word of the reason for closing a link whose peer sent nothing for too long.
 SILENT = "silent"
 
 
@@ -26,15 +26,16 @@
     Parameters
     ----------
     heartbeat_s : float, default=0.25
-        Time without a sent message after which a heartbeat is sent. It is under a third
-        of `silence_s`, so that one lost packet does not end a link.
+        Time without a sent message after which a heartbeat is sent. The default is
+        under a third of `silence_s`, so that one lost packet does not end a link.
     silence_s : float, default=0.9
-        Time without a received message after which a link is closed. It is below the
-        shortest limit within which a VM has to be heard from to count as reachable.
+        Time without a received message after which a link is closed. The default is
+        below the shortest time without a message after which a VM counts as
+        unreachable.
     connect_s : float, default=0.3
-        Maximum time until the connection is established. The kernel resends the first
-        packet to a VM that was not up yet after one second only, so that a new
-        connection reaches the VM sooner.
+        Maximum time until the connection is established. If the VM was not up yet when
+        the first packet was sent, the kernel resends the packet only after one second;
+        a new connection reaches the VM sooner.
     retry_s : float, default=0.2
         Back-off before a closed link is opened again.
     """
@@ -86,7 +87,7 @@
         settings: LinkSettings,
     ) -> None:
         self.peer = peer
-        #: Data of the owner about the peer.
+        #: Data about the peer, stored by the code that opened or accepted the link.
         self.context: Any = None
         self._loop = loop
         self._handler = handler
--- a/berylnotch/transport/packing.py
+++ b/berylnotch/transport/packing.py
@@ -20,19 +20,19 @@
 
 from berylnotch.errors import CodecError
 
-#: Maximum size of a message in bytes, compressed or not. A part of a snapshot and a
-#: configuration fit.
+#: Maximum size of a message in bytes, compressed or not. The limit allows for a part
+#: of a snapshot and for a configuration.
 MAX_PACKED_BYTES = 8 * 1024 * 1024
 
 #: Minimum size, in bytes, of a message that is compressed; smaller messages hardly
 #: shrink.
 COMPRESS_BYTES = 2048
 
-#: First byte of a compressed message. MessagePack reserves it, so no value begins with
-#: it.
+#: First byte of a compressed message. MessagePack reserves this byte, so that no
+#: uncompressed message begins with it.
 _COMPRESSED = b"\xc1"
 
-#: Fastest level of zlib; it already reduces a table to a fifth of its size.
+#: Fastest level of zlib, which already reduces a table to a fifth of its size.
 _COMPRESSION_LEVEL = 1
 
 _converter = cattrs.Converter(unstruct_strat=cattrs.UnstructureStrategy.AS_TUPLE)
@@ -100,10 +100,10 @@
     return {cls.__name__: cls for cls in classes}
 
 
-def _resolve_annotations(hint: Any) -> None:
+def _resolve_annotations(annotation: Any) -> None:
     """Resolve the string annotations of a class and, recursively, of its fields."""
-    for argument in get_args(hint):
+    for argument in get_args(annotation):
         _resolve_annotations(argument)
-    if isinstance(hint, type) and attrs.has(hint):
-        for field in attrs.fields(attrs.resolve_types(hint)):
+    if isinstance(annotation, type) and attrs.has(annotation):
+        for field in attrs.fields(attrs.resolve_types(annotation)):
             _resolve_annotations(field.type)
--- a/berylnotch/transport/peers.py
+++ b/berylnotch/transport/peers.py
@@ -1,4 +1,4 @@
-"""Authenticated connections between processes: listener and outgoing connections."""
+"""Listener and outgoing connections for authenticated messages between processes."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 from berylnotch.util.address import Address, parse_address
 from berylnotch.util.loop import Loop
 
+#: Connections that may wait to be accepted.
 _BACKLOG = 512
 #: Back-off in seconds before the next attempt to connect to an address.
 _RECONNECT_DELAY_S = 0.25
@@ -163,8 +164,8 @@
     ) -> None:
         channel = self._find_or_connect(address)
         if channel is None:
-            # The call fails later in the loop, so that a retry in its callback does not
-            # recurse.
+            # The call fails from a timer, so that a retry in a callback of the future
+            # does not recurse.
             self._loop.call_later(
                 _RECONNECT_DELAY_S, lambda: _fail_call(future, address)
             )
--- a/berylnotch/transport/plain.py
+++ b/berylnotch/transport/plain.py
@@ -19,7 +19,7 @@
 
 @frozen
 class Envelope:
-    """Number of a call, 0 for a one-way message, and whether the message replies."""
+    """Number of a call (0 for a one-way message), and whether this is a reply."""
 
     call: int
     reply: bool
@@ -47,21 +47,21 @@
     def send(self, call_id: int, is_reply: bool, message: object) -> None:
         """Queue a message as one frame.
 
-        A message to many peers is packed only once by its sender, which passes the
-        bytes.
+        The message is an object, or the bytes that `pack` returned for it; a message
+        to many peers has to be packed only once.
         """
         data = message if isinstance(message, bytes) else pack(message)
         self._output += _HEADER.pack(len(data), call_id, is_reply)
         self._output += data
 
     def take_output(self) -> bytes:
-        """Return the bytes to send since the last call."""
+        """Return the bytes that were queued since the last call of this method."""
         output = bytes(self._output)
         self._output.clear()
         return output
 
     def feed(self, data: bytes) -> list[tuple[Envelope, Any]]:
-        """Take received bytes and return the messages completed by them.
+        """Process received bytes and return the messages that they complete.
 
         Raises
         ------
@@ -74,10 +74,12 @@
             size, call_id, is_reply = _HEADER.unpack_from(self._input)
             if size > MAX_PACKED_BYTES:
                 raise FrameError(f"frame of {size} bytes is over the limit")
-            end = _HEADER.size + size
-            if len(self._input) < end:
+            frame_end = _HEADER.size + size
+            if len(self._input) < frame_end:
                 break
-            message = unpack(bytes(self._input[_HEADER.size : end]), self._classes)
-            del self._input[:end]
+            message = unpack(
+                bytes(self._input[_HEADER.size : frame_end]), self._classes
+            )
+            del self._input[:frame_end]
             messages.append((Envelope(call_id, bool(is_reply)), message))
         return messages
--- a/berylnotch/transport/session.py
+++ b/berylnotch/transport/session.py
@@ -1,4 +1,4 @@
-"""Handshake, framing and authentication of frames of one connection.
+"""Authenticated framing of the messages on one connection, with its handshake.
 
 The module does no I/O: received bytes are passed to `Session.feed`, and the bytes to
 send are returned by `Session.take_output`.
@@ -19,7 +19,7 @@
 from berylnotch.transport.errors import FrameError, HandshakeError
 from berylnotch.transport.messages import Challenge, Envelope, Hello, Welcome
 
-#: Returns the key of an identity; it has to return a key for an unknown one as well.
+#: Returns the key of an identity; an unknown identity has a key too.
 KeyLookup = Callable[[str], bytes]
 
 _HEADER = struct.Struct(">I")
@@ -69,7 +69,7 @@
 
     @property
     def identity(self) -> str:
-        """Identity of the connecting side; empty on the accepting side until proved."""
+        """Identity of the connecting side; the acceptor learns it in the handshake."""
         return self._identity
 
     @property
@@ -78,7 +78,7 @@
         return self._phase is _Phase.OPEN
 
     def take_output(self) -> bytes:
-        """Return the bytes to send since the last call."""
+        """Return the bytes that were queued since the last call of this method."""
         output = bytes(self._output)
         self._output.clear()
         return output
@@ -103,7 +103,7 @@
         self._output += _HEADER.pack(len(data) + _TAG_BYTES) + tag + data
 
     def feed(self, data: bytes) -> list[tuple[Envelope, Any]]:
-        """Take received bytes and return the messages completed by them.
+        """Process received bytes and return the messages that they complete.
 
         Raises
         ------
@@ -137,8 +137,10 @@
 
     def _decode_frame(self, frame: bytes) -> tuple[Envelope, Any]:
         tag, data = frame[:_TAG_BYTES], frame[_TAG_BYTES:]
-        expected = self._compute_tag(not self._accepting, self._received_frames, data)
-        if not hmac.compare_digest(tag, expected):
+        expected_tag = self._compute_tag(
+            not self._accepting, self._received_frames, data
+        )
+        if not hmac.compare_digest(tag, expected_tag):
             raise FrameError("authentication tag of a frame is wrong")
         self._received_frames += 1
         try:
