--- a/berylnotch/platform/moves.py
+++ b/berylnotch/platform/moves.py
@@ -69,7 +69,7 @@
         values = as_object(parse_json(response.body, is_strict=False), "refusal")
         return MoveAnswer(503, get_string(values, "handle", ""))
     except FieldError:
-        # A refusal whose body cannot be decoded counts as one without a handle.
+        # A refusal whose body cannot be decoded counts as a refusal without a handle.
         return MoveAnswer(503)
 
 
--- a/berylnotch/platform/targets.py
+++ b/berylnotch/platform/targets.py
@@ -169,7 +169,7 @@
         "fence": order.epoch,
     }
     if order.orders_taken is not None:
-        # The engine refuses the order if its number of accepted orders is another.
+        # The engine refuses the order if its number of accepted orders differs.
         body["expectedRev"] = order.orders_taken
     headers = Headers(
         (
--- a/berylnotch/server/attempts.py
+++ b/berylnotch/server/attempts.py
@@ -136,7 +136,7 @@
             generation = self._make_generation_request(job)
             resume_after = action.resume_after
             return build_generation(address, generation, timeout_s, resume_after)
-        plain = PlainRequest(
+        plain_request = PlainRequest(
             method=job.request.method,
             path=quote(job.request.path, safe=_PATH_SAFE_CHARACTERS),
             query=job.request.query,
@@ -145,7 +145,7 @@
             request_id=job.request.request_id,
             caller_key=job.key,
         )
-        return build_plain(address, plain, timeout_s)
+        return build_plain(address, plain_request, timeout_s)
 
     def _candidates(self, now: float, service: str) -> tuple[Candidate, ...]:
         candidates = self._context.health.candidates(now, self._context.view, service)
@@ -211,14 +211,14 @@
         return self._assume_weights(name, candidates)
 
     def _make_generation_request(self, job: Job) -> GenerationRequest:
-        name = job.organisation_name
+        organisation_name = job.organisation_name
         return GenerationRequest(
             path=_ENGINE_PATHS[job.request.path.endswith("/chat/completions")],
             body=job.request.body,
             request_id=job.request.request_id,
-            cache_scope=name,
+            cache_scope=organisation_name,
             stream=job.is_stream,
-            priority=self._context.quota.priority(name),
+            priority=self._context.quota.priority(organisation_name),
             caller_key=job.key,
         )
 
--- a/berylnotch/server/handover.py
+++ b/berylnotch/server/handover.py
@@ -98,7 +98,7 @@
         self._server.prepare()
 
     def serve(self) -> None:
-        """Serve until `close`."""
+        """Serve requests until `close` is called."""
         self._server.serve()
 
     def close(self) -> None:
--- a/berylnotch/server/job.py
+++ b/berylnotch/server/job.py
@@ -83,7 +83,7 @@
         Ends an answer whose last bytes wait for tokens; None while no answer waits
         to be ended.
     is_poison : bool
-        Whether the request is refused because targets were lost running it.
+        Whether the request is refused because targets were lost while running it.
     """
 
     request: CallerRequest
--- a/berylnotch/server/needs.py
+++ b/berylnotch/server/needs.py
@@ -1,4 +1,4 @@
-"""Tokens for which the waiting requests of each organisation wait."""
+"""Record of the tokens for which each organisation's requests wait."""
 
 from __future__ import annotations
 
--- a/berylnotch/streams/sequence.py
+++ b/berylnotch/streams/sequence.py
@@ -101,8 +101,8 @@
         # JSON contains no raw line feed, so the separator followed by "id: " can only
         # be the start of the next event.
         id_field = _ID_FIELD + self._base
-        other_events = data[len(_ID_FIELD) :]
-        return id_field + other_events.replace(
+        remaining_data = data[len(_ID_FIELD) :]
+        return id_field + remaining_data.replace(
             _BOUNDARY + _ID_FIELD, _BOUNDARY + id_field
         )
 
--- a/berylnotch/transport/peers.py
+++ b/berylnotch/transport/peers.py
@@ -144,11 +144,11 @@
         self._run_in_loop(lambda: self._call(address, message, timeout_s, future))
         return future
 
-    def _run_in_loop(self, call: Callable[[], None]) -> None:
+    def _run_in_loop(self, function: Callable[[], None]) -> None:
         if self._loop.in_thread:
-            call()
+            function()
         else:
-            self._loop.call_soon(call)
+            self._loop.call_soon(function)
 
     def _close(self) -> None:
         for channel in tuple(self._channels.values()):
