--- a/berylnotch/consensus/bootstrap.py
+++ b/berylnotch/consensus/bootstrap.py
@@ -33,8 +33,8 @@
     """
     if recovered.identity not in voter_ids(members):
         raise BootstrapError(f"{recovered.identity} is not a voter of the new group")
-    ordered = Members(tuple(sorted(members.members, key=lambda m: m.replica)))
-    payload = encode_members(ordered)
+    sorted_members = Members(tuple(sorted(members.members, key=lambda m: m.replica)))
+    payload = encode_members(sorted_members)
     entry = Entry(FIRST_INDEX, FIRST_TERM, EntryKind.MEMBERS, payload)
     if recovered.entries[:1] == (entry,):
         return recovered
--- a/berylnotch/consensus/core.py
+++ b/berylnotch/consensus/core.py
@@ -70,8 +70,8 @@
         self._rng = rng
         self._outbox: list[Outgoing] = []
         self.restart_election_timer(now)
-        #: Time until which pre-votes are retried every `resume_retry_s`, because this
-        #: replica may have been the leader before its restart and can resume then.
+        #: Time until which pre-votes are retried every `resume_retry_s`. A replica that
+        #: may have been the leader before its restart can thus resume early.
         self._resume_deadline = now
         if self.hard_state.supports(self.identity):
             self._resume_deadline = self.election_deadline
@@ -91,9 +91,9 @@
     def is_voter(self) -> bool:
         """Whether this replica may stand for election.
 
-        A replica whose removal is not yet committed may still stand. Its log may be
-        the only one that holds the removal, and the others may then be unable to
-        elect a leader without its vote.
+        A replica whose removal is not yet committed may still stand. The log of that
+        replica may be the only one that holds the removal. The other replicas may then
+        be unable to elect a leader without the vote of that replica.
         """
         if self.identity in voter_ids(self.members):
             return True
@@ -101,8 +101,8 @@
 
     def restart_election_timer(self, now: float) -> None:
         """Restart the election timer with a new random timeout."""
-        low, high = self.settings.election_min_s, self.settings.election_max_s
-        self.election_deadline = now + self._rng.uniform(low, high)
+        min_s, max_s = self.settings.election_min_s, self.settings.election_max_s
+        self.election_deadline = now + self._rng.uniform(min_s, max_s)
 
     def schedule_pre_vote(self, now: float) -> None:
         """Set the time of the next pre-vote.
@@ -116,7 +116,7 @@
             self.election_deadline = min(retry_at, self._resume_deadline)
 
     def set_hard_state(self, hard_state: HardState) -> None:
-        """Replace the hard state; it must be saved before further messages are sent."""
+        """Replace the hard state; save the new one before further messages are sent."""
         self.hard_state = hard_state
         self.is_hard_state_saved = False
 
--- a/berylnotch/consensus/election.py
+++ b/berylnotch/consensus/election.py
@@ -1,10 +1,11 @@
-"""Leader election: pre-votes, votes and their counting.
+"""Leader election by pre-votes and votes, for candidates and for voters.
 
 A voter that restarts refuses its vote for ``election_min_s``, because it may have
 renewed a leader's lease just before the restart. A former leader can resume without
-this wait. If a majority of voters is still in its term and supports it, no other
-replica can have led that term, and all leases of older terms had ended when the voters
-began to support it. The model in `spec/resumption.py` checks this rule.
+this wait if a majority of voters is still in the leader's term and supports the
+leader. In this case no other replica can have led that term, and all leases of older
+terms had ended when the voters began to support the leader. The model in
+`spec/resumption.py` checks this rule.
 """
 
 from __future__ import annotations
@@ -47,11 +48,11 @@
 
     @property
     def can_resume(self) -> bool:
-        """Whether no other replica can hold a lease, so that no wait is needed."""
+        """Whether no other replica can hold a lease, so this one need not wait."""
         return has_quorum(self._core.members, self._supporters)
 
     def start_pre_vote(self, now: float) -> None:
-        """Ask whether this replica would win an election, without a new term."""
+        """Ask voters if this replica would win an election; the term does not change."""
         core = self._core
         core.schedule_pre_vote(now)
         core.leader = ""
@@ -63,7 +64,7 @@
         self._send_vote_requests(core.term + 1, is_pre_vote=True)
 
     def start_election(self, now: float, is_transfer: bool = False) -> None:
-        """Request votes in a new term; the own vote counts once it is saved."""
+        """Request votes in a new term; this replica's own vote counts once saved."""
         core = self._core
         core.restart_election_timer(now)
         core.leader = ""
@@ -82,8 +83,8 @@
     def record_vote_reply(self, reply: VoteReply) -> None:
         """Count a reply to the current pre-vote or vote request."""
         core = self._core
-        pre_by_state = {State.PRE_CANDIDATE: True, State.CANDIDATE: False}
-        if pre_by_state.get(core.state) is not reply.pre:
+        is_pre_vote_by_state = {State.PRE_CANDIDATE: True, State.CANDIDATE: False}
+        if is_pre_vote_by_state.get(core.state) is not reply.pre:
             return
         if reply.pre and self._supporters and reply.supported_term == core.term:
             self._supporters.add(reply.voter)
@@ -110,8 +111,8 @@
 
 def is_up_to_date(core: Core, request: VoteRequest) -> bool:
     """Return whether the candidate's log holds all entries that may be committed."""
-    own = (core.log.last_term, core.log.last_index)
-    return (request.last_term, request.last_index) >= own
+    own_end = (core.log.last_term, core.log.last_index)
+    return (request.last_term, request.last_index) >= own_end
 
 
 def answer_pre_vote(core: Core, now: float, request: VoteRequest) -> VoteReply:
--- a/berylnotch/consensus/folder.py
+++ b/berylnotch/consensus/folder.py
@@ -1,4 +1,4 @@
-"""Identity file, lock file and atomic file writes of a replica's data folder."""
+"""Operations on a replica's data folder: identity, lock and atomic file writes."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 def replace_file_atomically(path: Path, *parts: bytes) -> None:
     """Replace a file so that a crash leaves either the old or the new content."""
-    temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
-    with open(temporary, "wb") as file:
+    temporary_path = path.with_name(path.name + TEMPORARY_SUFFIX)
+    with open(temporary_path, "wb") as file:
         for part in parts:
             file.write(part)
         file.flush()
         os.fsync(file.fileno())
-    os.rename(temporary, path)
+    os.rename(temporary_path, path)
     sync_folder(path.parent)
 
 
@@ -69,17 +69,17 @@
 def create_identity(folder: Path, name: str, identity: str = "") -> str:
     """Write the replica id of a new data folder and return the id.
 
-    The id is ``identity``, or ``name/hex`` with random digits if that is empty.
+    The id is ``identity``, or ``name/hex`` with random digits if ``identity`` is empty.
     """
     identity = identity or f"{name}/{secrets.token_hex(8)}"
     path = folder / IDENTITY_FILE
-    temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
-    with open(temporary, "w", encoding="utf-8") as file:
+    temporary_path = path.with_name(path.name + TEMPORARY_SUFFIX)
+    with open(temporary_path, "w", encoding="utf-8") as file:
         inodes = f"{folder.stat().st_ino} {os.fstat(file.fileno()).st_ino}"
         file.write(f"{identity}\n{inodes}\n")
         file.flush()
         os.fsync(file.fileno())
-    os.rename(temporary, path)
+    os.rename(temporary_path, path)
     sync_folder(folder)
     sync_folder(folder.parent)
     return identity
--- a/berylnotch/consensus/following.py
+++ b/berylnotch/consensus/following.py
@@ -23,15 +23,15 @@
     -------
     AppendReply
         If ``ok``, ``match`` is the last index up to which the log equals the leader's.
-        If the entries do not follow this log, ``match`` is a hint: the last index up
+        If the entries do not continue this log, ``match`` is a hint: the last index up
         to which the logs may still be equal.
     """
     match = request.prev_index + len(request.entries)
     if request.prev_index > core.commit_index:
         if core.log.term_at(request.prev_index) != request.prev_term:
             return _make_append_reply(core, request, False, _match_hint(core, request))
-    # Committed entries are equal in all logs, including entries that were compacted
-    # here and can no longer be compared.
+    # Committed entries are equal in all logs, including entries that this replica has
+    # compacted and can no longer compare.
     core.log.merge(tuple(e for e in request.entries if e.index > core.commit_index))
     core.advance_commit(min(request.commit, match))
     return _make_append_reply(core, request, True, match)
--- a/berylnotch/consensus/leading.py
+++ b/berylnotch/consensus/leading.py
@@ -63,7 +63,7 @@
         return majority_value(core.members, core.identity, now, acked_sent_at)
 
     def has_lease(self, now: float) -> bool:
-        """Whether no other replica can lead, and all older entries are committed."""
+        """Whether no other replica can lead and older terms' entries are committed."""
         if self._core.commit_index < self._term_first_index:
             return False
         return now - self.lease_started_at(now) < self._core.settings.lease_s
@@ -71,7 +71,7 @@
     def has_lost_quorum(self, now: float) -> bool:
         """Whether no majority answered a round sent within the last ``lease_s``.
 
-        It is false during the first ``lease_s`` after the election.
+        The result is false during the first ``lease_s`` after the election.
         """
         start = max(self.lease_started_at(now), self._elected_at)
         return now - start >= self._core.settings.lease_s
@@ -144,7 +144,7 @@
             progress.set_offset(reply.offset)
 
     def update_commit(self) -> None:
-        """Commit the entries saved by a majority, if the last is of this term."""
+        """Commit the entries saved by a majority, if the last has the current term."""
         core = self._core
         match_indexes = {
             replica: p.match_index for replica, p in self._progress.items()
@@ -231,9 +231,9 @@
         )
 
     def _send_heartbeat(self, replica: str) -> None:
-        # A replica that needs a snapshot may lack every entry held here. Index 0 is
-        # equal in all logs, so a request from there always succeeds; it only renews
-        # the lease and the replica's election timer.
+        # A replica that needs a snapshot may lack every entry that the leader holds.
+        # All logs are equal at index 0, so a request with this previous index always
+        # succeeds. It only renews the lease and the replica's election timer.
         core = self._core
         round_number = self._rounds.number
         request = AppendRequest(
@@ -269,8 +269,8 @@
 
     def _sync_progress(self) -> None:
         core = self._core
-        current = {member.replica for member in core.members.members}
-        for replica in self._progress.keys() - current:
+        current_ids = {member.replica for member in core.members.members}
+        for replica in self._progress.keys() - current_ids:
             del self._progress[replica]
-        for replica in sorted(current - self._progress.keys() - {core.identity}):
+        for replica in sorted(current_ids - self._progress.keys() - {core.identity}):
             self._progress[replica] = Progress(core.log.last_index + 1)
--- a/berylnotch/consensus/log.py
+++ b/berylnotch/consensus/log.py
@@ -68,7 +68,7 @@
 
     @property
     def truncated_from(self) -> int | None:
-        """First saved index that was truncated, until this is passed to the storage."""
+        """Index of the first truncated entry that the storage still holds, or None."""
         return self._truncated_from
 
     @property
@@ -111,8 +111,8 @@
     ) -> tuple[Entry, ...]:
         """Return the entries from ``first`` on that fit into one message.
 
-        At most ``max_entries`` entries with ``remaining_bytes`` of payload are
-        returned, but at least one if there is one, whatever its size.
+        At most ``max_entries`` entries with at most ``remaining_bytes`` of payload in
+        total are returned. The first entry is returned whatever its size.
         """
         selected: list[Entry] = []
         for entry in self.entries_between(
@@ -129,7 +129,7 @@
         return self.entries_between(self._saved_index + 1, self.last_index)
 
     def append(self, entries: tuple[Entry, ...]) -> None:
-        """Append entries that follow the last one."""
+        """Append entries that follow the last entry of the log."""
         self._entries.extend(entries)
         self._record_members(entries)
 
@@ -144,7 +144,7 @@
             return
 
     def mark_saved(self, entries: tuple[Entry, ...]) -> None:
-        """Record that entries are durable; entries replaced since are ignored."""
+        """Record that entries are durable; ignore those that were replaced."""
         for entry in reversed(entries):
             if self.term_at(entry.index) == entry.term:
                 self._saved_index = max(self._saved_index, entry.index)
--- a/berylnotch/consensus/messages.py
+++ b/berylnotch/consensus/messages.py
@@ -32,7 +32,7 @@
         Name of the controller on the VM, as in its settings.
     replica : str
         Replica id, ``name/hex``: the name and a random id of the data folder. A
-        wiped folder gets a new id, so it never votes under the old one again.
+        wiped folder gets a new id, so that no replica votes under the old id again.
     address : str
         ``host:port``.
     failure_domain : str
@@ -50,7 +50,7 @@
 
 @frozen
 class Members:
-    """Membership of the group; it is in force once it is in the log."""
+    """Membership of the group, in force once its entry is in the log."""
 
     members: tuple[Member, ...] = ()
 
@@ -102,7 +102,7 @@
 
 @frozen
 class AppendRequest:
-    """Entries from the leader; without entries, a heartbeat.
+    """Leader's request to append entries; without entries, a heartbeat.
 
     ``round`` is the number of the leader's heartbeat round. The reply repeats it, so
     that the lease runs from the time at which the round was sent, not from the arrival
@@ -125,8 +125,8 @@
 class AppendReply:
     """Reply to an `AppendRequest`.
 
-    ``match`` is the last index up to which the logs are equal; if ``ok`` is false, it
-    is only a hint up to where they may be.
+    ``match`` is the last index up to which the logs are equal. If ``ok`` is false, it
+    is a hint: the last index up to which the logs may be equal.
     """
 
     term: int
--- a/berylnotch/consensus/progress.py
+++ b/berylnotch/consensus/progress.py
@@ -12,13 +12,15 @@
     from berylnotch.consensus.messages import Members
     from berylnotch.consensus.state import Snapshot
 
-#: Rounds whose sending time is stored; replies to older rounds do not renew the lease.
+#: Number of rounds whose sending time is stored. Replies to older rounds do not renew
+#: the lease.
 MAX_TRACKED_ROUNDS = 256
 
-#: Rounds after which an unanswered part of a snapshot is sent again.
+#: Number of rounds after which an unanswered part of a snapshot is sent again.
 PART_RESEND_ROUNDS = 5
 
-#: Rounds without a reply after which the newest snapshot replaces the one being sent.
+#: Number of rounds without a reply until the newest snapshot replaces the snapshot
+#: that is being sent.
 SNAPSHOT_RESTART_ROUNDS = 50
 
 #: Time in seconds that means "never".
@@ -58,27 +60,28 @@
     """
 
     def __init__(self, next_index: int) -> None:
-        #: Last index up to which its log is known to be durable and equal to the
-        #: leader's.
+        #: Last index up to which the replica's log is known to be durable and equal to
+        #: the leader's.
         self.match_index = 0
         #: Index of the next entry to send.
         self.next_index = next_index
-        #: Sending time of the newest round that it answered, in monotonic seconds.
+        #: Sending time of the newest round that the replica answered, in monotonic
+        #: seconds.
         self.acked_round_sent_at = NEVER
-        #: Arrival time of its last reply, in monotonic seconds.
+        #: Arrival time of the replica's last reply, in monotonic seconds.
         self.last_contact_at = NEVER
-        #: Whether the last equal index is unknown, so that one request at a time is
-        #: sent.
+        #: Whether the last index at which the logs are equal is unknown. Only one
+        #: request at a time is then sent.
         self.is_probing = True
-        #: Whether a request was sent that has no reply yet. While probing or sending a
+        #: Whether the newest request has no reply yet. While probing or sending a
         #: snapshot, the next request waits for the reply, for the next heartbeat round
         #: or for the time to send the part again.
         self.is_awaiting_reply = False
         #: Snapshot that is being sent, if any, and the byte offset of its next part.
         self.snapshot: Snapshot | None = None
         self.offset = 0
-        #: Whether it lost entries that it had acknowledged. This happens if an older
-        #: copy of its data folder is restored.
+        #: Whether the replica lost entries that it had acknowledged. This happens if an
+        #: older copy of its data folder is restored.
         self.has_lost_entries = False
         self._match_round = 0
         self._unanswered_rounds = 0
--- a/berylnotch/consensus/replica.py
+++ b/berylnotch/consensus/replica.py
@@ -24,8 +24,8 @@
     """Replica that elects leaders, replicates entries and commits them by majority.
 
     It has no clock, socket, thread or file of its own. After each `step`, `tick` or
-    proposal, the embedding program calls `ready`, saves, sends and applies what it
-    returns, and then calls `advance`. Each ``now`` must be read after the message
+    proposal, the embedding program calls `ready`, saves, sends and applies the
+    returned work, and then calls `advance`. Each ``now`` must be read after the message
     concerned was received.
 
     Parameters
@@ -108,7 +108,7 @@
 
     @property
     def members_index(self) -> int:
-        """Index of the entry that holds `members`, which is final once committed."""
+        """Index of the entry that holds `members`; they are final once committed."""
         return self._core.log.members_index
 
     @property
@@ -133,8 +133,9 @@
     def has_lease(self, now: float) -> bool:
         """Whether this replica may act as the only leader at ``now``.
 
-        It must be called again, with a newly read clock, after every blocking
-        operation. It is false until the leader has committed an entry of its own term.
+        This method must be called again, with a newly read clock, after every blocking
+        operation. The result is false until the leader has committed an entry of its
+        own term.
         """
         return self._leader is not None and self._leader.has_lease(now)
 
@@ -153,7 +154,7 @@
         self._roles.tick(now)
 
     def step(self, now: float, message: Any) -> None:
-        """Process a message from another replica; drop it if it is not for this one."""
+        """Process a message from another replica, unless addressed to a third one."""
         self._roles.step(now, message)
 
     def propose(self, now: float, payload: bytes) -> int:
@@ -211,7 +212,7 @@
         Returns
         -------
         bool
-            Whether there was such a voter.
+            Whether there was another voter.
         """
         self._require_leader(now)
         return self._roles.transfer_leadership(now)
@@ -268,7 +269,7 @@
         return Snapshot(index, log.term_at(index) or 0, log.members_at(index), data)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Drop entries covered by a saved snapshot, except the newest of them."""
+        """Drop entries that a saved snapshot covers, but keep `keep_entries` of them."""
         if self._core.log.base_index < snapshot.last_index <= self._core.applied_index:
             self._core.log.compact(snapshot, self._core.settings.keep_entries)
             self._applied_bytes = 0
--- a/berylnotch/consensus/roles.py
+++ b/berylnotch/consensus/roles.py
@@ -52,7 +52,7 @@
             self._become_follower(now, self._core.term, "")
 
     def step(self, now: float, message: Any) -> None:
-        """Process a message from another replica; drop it if it is not for this one."""
+        """Process a message from another replica, unless addressed to a third one."""
         self.step_down_if_quorum_lost(now)
         if isinstance(message, VoteRequest | AppendRequest | SnapshotRequest):
             if message.replica != self._core.identity:
@@ -87,7 +87,7 @@
         Returns
         -------
         bool
-            Whether there was such a voter; if not, this replica remains leader.
+            Whether there was another voter; if not, this replica remains leader.
         """
         core = self._core
         successor = self._leader.select_successor()
--- a/berylnotch/consensus/state.py
+++ b/berylnotch/consensus/state.py
@@ -29,7 +29,7 @@
     followed: str = ""
 
     def supports(self, replica: str) -> bool:
-        """Whether ``replica`` is the followed leader or, without one, got the vote."""
+        """Whether ``replica`` is the followed leader or, with none, got the vote."""
         return (self.followed or self.voted_for) == replica
 
 
@@ -71,7 +71,7 @@
     hard_state : HardState or None
         New hard state to save, or None if it is unchanged.
     truncate_from : int or None
-        First index of saved entries that are void, or None.
+        Index from which the saved entries are void, or None.
     entries : tuple of Entry
         Entries to save.
     snapshot : Snapshot or None
--- a/berylnotch/consensus/storage.py
+++ b/berylnotch/consensus/storage.py
@@ -22,7 +22,7 @@
 
 T = TypeVar("T")
 
-#: Size in bytes from which a new log segment is started.
+#: Size in bytes of the newest log segment from which the next segment is started.
 SEGMENT_BYTES = 8 * 1024 * 1024
 
 _SEGMENT_NAME = "log-{:010d}"
@@ -44,11 +44,12 @@
         Number of entries to keep before the end of a snapshot.
     first_identity : str, default=""
         Replica id of a new folder, instead of a random one. Only a founding member of
-        a group may set it, because no earlier folder can have had that id.
+        a group may set it, because no earlier folder of such a member can have had
+        that id.
     checks_copy : bool, default=True
         Whether to refuse a folder as a copy if its inode numbers differ from those at
-        its creation. It must be off on platforms that reattach a disk with new inode
-        numbers; such platforms must never restore an older state of a disk.
+        its creation. The check must be off on platforms that reattach a disk with new
+        inode numbers; such platforms must never restore an older state of a disk.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         Raises
         ------
         DamagedFileError
-            If a file is damaged, except for a last save that a crash cut off.
+            If a file is damaged, except if a crash interrupted the last save.
         CopiedFolderError
             If the folder was copied or restored.
         StorageError
@@ -116,10 +117,10 @@
             self._run_guarded(self._save, ready)
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Save a snapshot of this replica's state, then remove segments it covers.
+        """Save a snapshot of this replica's state, then remove the segments covered.
 
-        It may run in another thread than `save`. The snapshot is ignored if a newer one
-        from the leader was installed in the meantime.
+        This method may run in another thread than `save`. The snapshot is ignored if a
+        newer one from the leader was installed in the meantime.
 
         Raises
         ------
@@ -271,7 +272,7 @@
             self._remove_segment(number)
 
     def _replace_log(self) -> None:
-        # Only for a log that is replaced by a snapshot from the leader: all earlier
+        # This is only valid if a snapshot from the leader replaces the log: all earlier
         # segments are removed, including entries that the snapshot does not cover.
         self._open_segment(max(self._highest_index_by_segment) + 1)
         for number in sorted(self._highest_index_by_segment)[:-1]:
@@ -286,7 +287,7 @@
 def _append_recovered(
     path: Path, offset: int, entries: list[Entry], entry: Entry
 ) -> None:
-    """Append an entry read from a segment; it replaces entries from its index on."""
+    """Append an entry read from a segment; drop entries from the same index on."""
     if entries:
         kept_count = entry.index - entries[0].index
         if kept_count < 0 or kept_count > len(entries):
@@ -303,7 +304,7 @@
 
     After a crash between saving a snapshot from the leader and removing the old log,
     the log ends before the snapshot or has another term at its last index. Such a log
-    is void.
+    is not used.
 
     Raises
     ------
