--- a/berylnotch/consensus/election.py
+++ b/berylnotch/consensus/election.py
@@ -52,7 +52,7 @@
         return has_quorum(self._core.members, self._supporters)
 
     def start_pre_vote(self, now: float) -> None:
-        """Ask voters if this replica would win an election; the term does not change."""
+        """Ask voters if this replica would win an election, and keep the term."""
         core = self._core
         core.schedule_pre_vote(now)
         core.leader = ""
--- a/berylnotch/consensus/replica.py
+++ b/berylnotch/consensus/replica.py
@@ -269,7 +269,7 @@
         return Snapshot(index, log.term_at(index) or 0, log.members_at(index), data)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Drop entries that a saved snapshot covers, but keep `keep_entries` of them."""
+        """Drop entries that a saved snapshot covers, except the last `keep_entries`."""
         if self._core.log.base_index < snapshot.last_index <= self._core.applied_index:
             self._core.log.compact(snapshot, self._core.settings.keep_entries)
             self._applied_bytes = 0
