--- a/berylnotch/control/changes.py
+++ b/berylnotch/control/changes.py
@@ -39,7 +39,7 @@
 def apply_text(
     data: StateData, context: ApplyContext, command: ApplyText
 ) -> CommandEffect:
-    """Replace the fleet configuration if its base revision is in force."""
+    """Replace the fleet configuration if the command's base revision is in force."""
     view = data.view
     if command.base_revision != view.revision:
         raise CommandError(Status.CONFLICT, _format_conflict(data, command))
@@ -83,7 +83,7 @@
 def withdraw_key(
     data: StateData, context: ApplyContext, command: WithdrawKey
 ) -> CommandEffect:
-    """Stop accepting a key and refuse its ID from then on."""
+    """Stop accepting a key, and refuse later keys with its ID."""
     key = data.view.keyring.find_by_id(command.key_id)
     if key is None:
         if command.key_id in data.withdrawn_keys:
@@ -100,7 +100,7 @@
 def set_drain(
     data: StateData, context: ApplyContext, command: SetDrain
 ) -> CommandEffect:
-    """Start or stop draining a target or VM; a draining one gets no new requests."""
+    """Start or stop draining a target or VM; draining excludes new requests."""
     fleet = data.view.fleet
     configured = fleet.targets if command.subject is Subject.TARGET else fleet.vms
     if command.name not in configured:
@@ -115,7 +115,7 @@
 def start_rollout(
     data: StateData, context: ApplyContext, command: StartRollout
 ) -> CommandEffect:
-    """Start to bring a service's engines to a weights version."""
+    """Start a rollout of a weights version to a service's engines."""
     service = data.view.fleet.services.get(command.service)
     if service is None or service.kind is not ServiceKind.LANGUAGE:
         message = f"{command.service!r} is no language service of the text"
--- a/berylnotch/control/commands.py
+++ b/berylnotch/control/commands.py
@@ -15,7 +15,7 @@
 
 
 class LifeState(Enum):
-    """Life state of a VM or target; only a LIVE one may get new requests."""
+    """Life state of a VM or target; new requests require the state LIVE."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -79,7 +79,7 @@
 
 @frozen
 class SetDrain:
-    """Start or stop draining a target or VM; a draining one gets no new requests."""
+    """Start or stop draining a target or VM; draining excludes new requests."""
 
     change_id: str
     operator: str
@@ -153,7 +153,7 @@
 
 @frozen
 class StartRollout:
-    """Bring a service's engines to a weights version, by orders to single engines."""
+    """Roll out weights to a service's engines, by orders to single engines."""
 
     change_id: str
     operator: str
@@ -214,7 +214,7 @@
         Text for the operator, such as the reason of a rejection or who applied the
         revision that caused a conflict.
     claim : ClaimRecord or None
-        For claim commands, the claim after the command.
+        State of the claim after a claim command; None after other commands.
     """
 
     status: Status
--- a/berylnotch/control/crashes.py
+++ b/berylnotch/control/crashes.py
@@ -15,7 +15,8 @@
 class CrashTable:
     """Crash reports, oldest first.
 
-    A repeated report of the same fingerprint and target keeps the time of the first.
+    A repeated report of the same fingerprint and target keeps the time of the first
+    report.
     """
 
     def __init__(self) -> None:
--- a/berylnotch/control/data.py
+++ b/berylnotch/control/data.py
@@ -22,7 +22,7 @@
     Parameters
     ----------
     view : View
-        The part that routers replicate.
+        Part of the state that routers replicate.
     ledger : Ledger
         Claims of non-idempotent requests.
     order_book : OrderBook
@@ -34,7 +34,7 @@
     text_operator : str
         Operator who applied the fleet configuration in force.
     text_at_ms : int
-        Unix time in milliseconds at which it was applied.
+        Unix time in milliseconds at which that configuration was applied.
     """
 
     view: View = field(factory=View)
--- a/berylnotch/control/eventlog.py
+++ b/berylnotch/control/eventlog.py
@@ -56,8 +56,8 @@
         return len(self._events) > MAX_EVENTS or self._total_bytes > MAX_EVENT_BYTES
 
     def _evict_oldest_version(self) -> None:
-        # Subscribers apply the events of one version all together, so that they are
-        # also evicted together.
+        # Subscribers apply all events of a version together, so these events are also
+        # evicted together.
         self._base_version = self._events[0].version
         while self._events and self._events[0].version == self._base_version:
             self._total_bytes -= len(self._events.popleft().event)
--- a/berylnotch/control/events.py
+++ b/berylnotch/control/events.py
@@ -42,7 +42,7 @@
 
 @frozen
 class LifeStateChanged:
-    """A VM or target changed its life state, as ``source`` observed it."""
+    """``source`` observed that the life state of a VM or target changed."""
 
     subject: Subject
     name: str
--- a/berylnotch/control/limits.py
+++ b/berylnotch/control/limits.py
@@ -1,4 +1,4 @@
-"""Limits on the size of commands, which keep the size of the state bounded."""
+"""Limits on the size of commands, so that the size of the state stays bounded."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     Raises
     ------
     CommandError
-        If a field is too long; the status is INVALID and the message names it.
+        If a field is too long; the status is INVALID and the message names the field.
     """
     for field in attrs.fields(type(command)):
         value = getattr(command, field.name)
@@ -43,6 +43,6 @@
     """Return a message, truncated at the end of a line if it is too long."""
     if len(message) <= MAX_MESSAGE_CHARACTERS:
         return message
-    head = message[:MAX_MESSAGE_CHARACTERS].rpartition("\n")[0]
-    omitted = message.count("\n") - head.count("\n")
-    return f"{head or message[:MAX_MESSAGE_CHARACTERS]}\n({omitted} more lines)"
+    kept_lines = message[:MAX_MESSAGE_CHARACTERS].rpartition("\n")[0]
+    omitted = message.count("\n") - kept_lines.count("\n")
+    return f"{kept_lines or message[:MAX_MESSAGE_CHARACTERS]}\n({omitted} more lines)"
--- a/berylnotch/control/observations.py
+++ b/berylnotch/control/observations.py
@@ -32,8 +32,9 @@
 ) -> CommandEffect:
     """Record a life state, and mark the claims of a lost router as UNKNOWN."""
     if command.subject is Subject.VM and command.state is not LifeState.LEAVING:
-        # This also applies to a report that is rejected as outdated below. UNKNOWN is
-        # always safe, and a claim of an earlier incarnation must not stay RUNNING.
+        # Claims are marked even if `_check_life_state` rejects the report as outdated.
+        # UNKNOWN is always safe, and a claim of an earlier incarnation must not stay
+        # RUNNING.
         is_lost = command.state is LifeState.LOST
         data.ledger.mark_claims_unknown(
             context.at_ms, command.name, command.incarnation, is_lost
@@ -82,7 +83,7 @@
 def expire_claims(
     data: StateData, context: ApplyContext, command: ExpireClaims
 ) -> CommandEffect:
-    """Delete claims that were closed before the given time."""
+    """Delete claims that were closed before ``command.before_ms``."""
     if command.before_ms > context.at_ms:
         raise CommandError(Status.INVALID, "the time lies in the future")
     deleted = data.ledger.expire(command.before_ms)
@@ -109,14 +110,14 @@
     """Order an engine to load weights, unless the scheduler's rules forbid it."""
     state = order_state(data.view, data.order_book)
     engines = [e for e in state.engines if e.service == command.service]
-    matching = [e for e in engines if e.name == command.target]
-    if not matching:
+    matching_engines = [e for e in engines if e.name == command.target]
+    if not matching_engines:
         message = f"{command.target!r} is no engine of {command.service!r}"
         raise CommandError(Status.NOT_FOUND, message)
     if state.versions.get(command.service) != command.version:
         message = f"{command.service} shall not hold {command.version!r}"
         raise CommandError(Status.CONFLICT, message)
-    reason = refusal(matching[0], engines)
+    reason = refusal(matching_engines[0], engines)
     if reason:
         raise CommandError(Status.CONFLICT, reason)
     order = OrderRecord(
@@ -163,9 +164,10 @@
     """Reject a report that contradicts a newer or more direct observation.
 
     The platform's target list lags. After a target has announced itself that it is
-    leaving, LIVE from the list must not make it available again, and a delayed LOST
-    must not apply to the next incarnation. LEAVING is always accepted: its effect is
-    short, because the LIVE of the next incarnation ends it.
+    leaving, a LIVE report from the list must not make the target available again, and a
+    delayed LOST report must not apply to the next incarnation. LEAVING is always
+    accepted: this state is short, because a LIVE report of the next incarnation ends
+    it.
     """
     report = data.view.life_report(command.subject, command.name)
     if report is None:
--- a/berylnotch/control/records.py
+++ b/berylnotch/control/records.py
@@ -47,7 +47,7 @@
 
 @frozen
 class AuditBlock:
-    """Encoded `AuditRecord` instances with the fields that index them."""
+    """Encoded `AuditRecord` instances with their log indexes and change IDs."""
 
     indexes: tuple[int, ...]
     change_ids: tuple[str, ...]
@@ -56,7 +56,7 @@
 
 @frozen
 class RolloutRecord:
-    """Weights version to which a service's engines are brought."""
+    """Newest rollout of a weights version to a service's engines."""
 
     service: str
     version: str
--- a/berylnotch/control/state.py
+++ b/berylnotch/control/state.py
@@ -1,7 +1,8 @@
 """Replicated state machine of the control state.
 
 Every replica applies the same commands at the same log indexes and so builds the same
-state. To stay deterministic, it takes the time only from `Proposal.at_ms`.
+state. To stay deterministic, the state machine takes the time only from
+`Proposal.at_ms`.
 """
 
 from __future__ import annotations
@@ -72,7 +73,7 @@
     FinishOrder: observations.finish_order,
 }
 
-# Number of keys whose times are stored in one record of a snapshot.
+# Number of keys whose creation times are stored in one record of a snapshot.
 _KEYS_PER_RECORD = 1000
 
 
@@ -125,7 +126,7 @@
 
     @property
     def view(self) -> View:
-        """The part that routers replicate; callers must not modify it."""
+        """Part of the state that routers replicate; it must not be modified."""
         return self._data.view
 
     @property
@@ -190,14 +191,15 @@
     def prepare_snapshot(self) -> Callable[[], bytes]:
         """Return a function that encodes a snapshot of the current state.
 
-        Collecting the records here is quick. The returned function takes far longer
-        and may run in another thread while commands are applied to this state.
+        This method only collects the records and is quick. The returned function takes
+        far longer and may run in another thread while commands are applied to this
+        state.
         """
         records = tuple(self._snapshot_records())
         return lambda: encode_snapshot(records)
 
     def restore(self, data: bytes) -> None:
-        """Replace the state with that of a snapshot.
+        """Replace the state with the one in a snapshot.
 
         Raises
         ------
@@ -226,7 +228,7 @@
         return self._audit.records_after(after_index, limit)
 
     def keys(self, organisation: str = "") -> tuple[KeyLine, ...]:
-        """Return the keys of an organisation, or of all, sorted by key ID."""
+        """Return the keys of one or all organisations, sorted by key ID."""
         issued_ms = self._data.key_issued_ms
         lines = [
             KeyLine(key.key_id, key.organisation, issued_ms.get(key.key_id, 0), 0)
@@ -383,5 +385,5 @@
 def _build_key_times(key_issued_ms: dict[str, int]) -> Iterator[KeyTimes]:
     key_ids = tuple(key_issued_ms)
     for start in range(0, len(key_ids), _KEYS_PER_RECORD):
-        part = key_ids[start : start + _KEYS_PER_RECORD]
-        yield KeyTimes(part, tuple(key_issued_ms[key_id] for key_id in part))
+        part_ids = key_ids[start : start + _KEYS_PER_RECORD]
+        yield KeyTimes(part_ids, tuple(key_issued_ms[key_id] for key_id in part_ids))
--- a/berylnotch/control/times.py
+++ b/berylnotch/control/times.py
@@ -10,7 +10,7 @@
     if at_ms <= 0:
         return "-"
     try:
-        moment = datetime.fromtimestamp(at_ms // 1000, UTC)
+        utc_time = datetime.fromtimestamp(at_ms // 1000, UTC)
     except (OverflowError, ValueError, OSError):
         return f"{at_ms} ms"
-    return moment.strftime("%Y-%m-%dT%H:%M:%SZ")
+    return utc_time.strftime("%Y-%m-%dT%H:%M:%SZ")
