--- a/berylnotch/quota/bucket.py
+++ b/berylnotch/quota/bucket.py
@@ -21,12 +21,12 @@
 
     @property
     def share(self) -> float:
-        """Weight against other organisations."""
+        """Weight relative to other organisations."""
 
 
 @define
 class OutstandingGrant:
-    """Tokens that one router may still charge, as known to the owner.
+    """Tokens that one router may still charge, as known to the quota owner.
 
     ``spent`` is the total that the router's present incarnation last reported. The
     grant cannot be charged from ``expires_at`` on.
@@ -41,8 +41,8 @@
     """Token bucket whose level and outstanding grants together never exceed the burst.
 
     Each token that is charged was granted before. So the charges in a window of T
-    seconds are at most the level and the outstanding grants at its start, plus the
-    tokens refilled since: burst + rate x T.
+    seconds are at most the level and the outstanding grants at the start of the window,
+    plus the tokens refilled during the window: burst + rate x T.
 
     Parameters
     ----------
@@ -108,7 +108,7 @@
         self._cap_level()
 
     def record_report(self, router: str, held: int, spent: int) -> int:
-        """Record the tokens that a router holds and has spent; return the new use.
+        """Record a router's held and spent tokens; return the newly spent ones.
 
         Granted tokens that the router neither holds nor spent return to the bucket:
         the router gave them up, let them expire, or never received them.
@@ -143,7 +143,7 @@
         -------
         tokens : int
             All tokens that the router may charge until ``expires_at``, including
-            those that it reported as held.
+            those that the router reported as held.
         """
         grant = self._grants[router]
         grant.tokens += tokens
@@ -154,10 +154,10 @@
         return grant.tokens
 
     def _refill(self, now: float) -> None:
-        elapsed = now - self._updated_at
-        if elapsed <= 0:
+        elapsed_s = now - self._updated_at
+        if elapsed_s <= 0:
             return
-        self._level += self._rate * elapsed
+        self._level += self._rate * elapsed_s
         self._updated_at = now
         self._cap_level()
 
--- a/berylnotch/quota/holding.py
+++ b/berylnotch/quota/holding.py
@@ -20,7 +20,7 @@
 RENEW_FRACTION = 0.5
 
 #: Fraction of ``min_held`` that is held for an organisation without recent requests, so
-#: that its first request is served even while there is no owner.
+#: that the organisation's first request is served even while there is no owner.
 IDLE_FRACTION = 0.25
 
 
@@ -31,7 +31,7 @@
     Parameters
     ----------
     settings : QuotaSettings
-        Lifetimes and waits.
+        Lifetimes of grants and waiting times.
     usage : UsageAverage
         Recent use at this router.
     tokens : int, default=0
@@ -43,12 +43,13 @@
     reported_spent : int, default=0
         ``spent`` in the newest request that includes this organisation.
     asked_at : float, default=-inf
-        Monotonic time at which that request was opened.
+        Monotonic time at which the router built the newest request that includes
+        this organisation.
     is_answered : bool, default=True
-        Whether that request was answered.
+        Whether the newest request that includes this organisation was answered.
     want, first_want : int, default=0
-        Tokens that all the waiting work needs, and tokens that the first item of
-        the waiting work needs.
+        Tokens that all waiting work needs, and tokens that the first item of the
+        waiting work needs.
     priority : int, default=0
         Priority from the owner, 0 (best) to 9.
     retry_at : float, default=-inf
@@ -93,11 +94,12 @@
         return True
 
     def build_ask(self, now: float, organisation: str) -> QuotaAsk | None:
-        """Return the organisation's ask to the owner, or None if none is due.
+        """Return the organisation's ask to the owner, or None if no ask is due.
 
-        The router gives up tokens above the target amount. It gives up all tokens if
-        they are too few for the first waiting work, so that two routers do not block
-        each other by each holding a part of the tokens.
+        The router gives up tokens above the target amount. If the held
+        tokens are too few for the first waiting work, the router gives up all of them,
+        so that two routers do not block each other by each holding a part of the
+        tokens.
         """
         target_tokens = self._target_tokens(now)
         if not self._is_due(now, target_tokens):
@@ -122,8 +124,8 @@
 
     def apply_grant(self, lifetime_start: float, grant: Grant) -> None:
         """Apply a grant whose lifetime counts from ``lifetime_start``."""
-        charged_since = self.spent - self.reported_spent
-        self.tokens = max(0, grant.tokens - charged_since)
+        charged_since_ask = self.spent - self.reported_spent
+        self.tokens = max(0, grant.tokens - charged_since_ask)
         self.expires_at = lifetime_start + grant.lifetime_ms / 1000
         self.is_answered = True
         is_refused = grant.retry_after_ms > 0 and self.settings.refused_leave
@@ -145,8 +147,8 @@
 
     def _is_due(self, now: float, target_tokens: int) -> bool:
         held = self.balance(now)
-        # After a router refused its waiting work, it asks again, so that the owner
-        # stops reserving tokens for this work and serves other routers.
+        # After this router has refused its waiting work, the router asks again, so that
+        # the owner stops reserving tokens for this work and serves other routers.
         if self.want or not self.is_answered or self.is_queued_at_owner:
             return True
         if held < LOW_FRACTION * target_tokens or held > HIGH_MULTIPLE * target_tokens:
--- a/berylnotch/quota/local.py
+++ b/berylnotch/quota/local.py
@@ -18,13 +18,13 @@
     """Tokens that one router may charge to the organisations.
 
     At most one request to the owner is in flight: `asks` opens an exchange and
-    closes the previous one, whose reply is discarded from then on. So each request
-    tells the owner all tokens that the router may still charge.
+    closes the previous exchange. A later reply of a closed exchange is discarded. So
+    each request tells the owner all tokens that the router may still charge.
 
     Parameters
     ----------
     settings : QuotaSettings
-        Lifetimes and waits.
+        Lifetimes of grants and waiting times.
     """
 
     def __init__(self, settings: QuotaSettings) -> None:
@@ -52,7 +52,7 @@
     def next_ask_at(self) -> float:
         """Monotonic time at which the next request should be sent, in seconds.
 
-        While a request is in flight, this is the time at which it times out.
+        While a request is in flight, this is the time at which that request times out.
         """
         if self._is_exchange_open:
             return self._opened_at + self._settings.reply_timeout_s
@@ -63,8 +63,8 @@
     def asks(self, now: float) -> tuple[QuotaAsk, ...]:
         """Open an exchange with the owner and return the asks for its request.
 
-        The request must carry `sequence`. It is also sent without asks, because it
-        is the router's heartbeat.
+        The request must carry `sequence`. The request is sent even without
+        asks, because requests are the router's heartbeat.
         """
         self._advance_clock(now)
         self._sequence += 1
@@ -98,7 +98,7 @@
         return True
 
     def charge(self, now: float, organisation: str, tokens: int) -> bool:
-        """Charge tokens if the router holds enough; return whether it did."""
+        """Charge tokens if the router holds enough; return whether it charged them."""
         if tokens < 0:
             raise InvalidChargeError(
                 f"cannot charge {tokens} tokens: the number is negative"
@@ -121,7 +121,7 @@
         self._opened_at = self._previous_opened_at
 
     def want(self, organisation: str, tokens: int, first: int | None = None) -> None:
-        """Set the number of tokens that the waiting work needs; 0 if none waits.
+        """Set the number of tokens that the waiting work needs; 0 if no work waits.
 
         Parameters
         ----------
@@ -153,7 +153,7 @@
         self._get_quota(organisation).min_held = tokens
 
     def release(self, now: float) -> None:
-        """Give up all tokens before a planned stop; the next `asks` reports it."""
+        """Give up all tokens before a planned stop; the next `asks` reports this."""
         self._advance_clock(now)
         for quota in self._quotas.values():
             quota.tokens = 0
@@ -167,7 +167,7 @@
         return BEST_PRIORITY if quota is None else quota.priority
 
     def retry_after_ms(self, organisation: str) -> int:
-        """Return the retry-after time, or 0 if work should wait for tokens.
+        """Return the retry-after time in ms, or 0 if work should wait for tokens.
 
         The time is positive only if the owner reported within the last grant
         lifetime that the organisation has used up its rate and burst.
--- a/berylnotch/quota/messages.py
+++ b/berylnotch/quota/messages.py
@@ -11,9 +11,9 @@
 
     ``held`` tokens may still be charged. ``spent`` counts the tokens charged since
     the router started. ``want`` is requested in addition to ``held``; with less than
-    ``waiting`` of it, no waiting work can proceed. ``queued`` is the part of ``want``
-    that all waiting work needs; the rest is for expected use. ``queued`` is 0 if the
-    sender does not report it.
+    ``waiting`` tokens of ``want``, no waiting work can proceed. ``queued`` is the part
+    of ``want`` that all waiting work needs; the rest is for expected use. ``queued``
+    is 0 if the sender does not report it.
     """
 
     organisation: str
--- a/berylnotch/quota/owner.py
+++ b/berylnotch/quota/owner.py
@@ -22,7 +22,8 @@
 #: Interval of the sweep over all organisations and routers, in seconds.
 SWEEP_INTERVAL_S = 1.0
 
-#: Time after its last request for which a router's sequence number is kept, in seconds.
+#: Retention time of a router's sequence number after the router's last request, in
+#: seconds.
 ROUTER_RETENTION_S = 600.0
 
 
@@ -50,7 +51,7 @@
     Parameters
     ----------
     settings : QuotaSettings
-        Lifetimes and waits.
+        Lifetimes of grants and waiting times.
     term : int
         Term of the leader.
     now : float
@@ -62,8 +63,10 @@
         self._term = term
         self._started_at = now
         self._now = now
-        has_to_wait = not settings.takeover_part
-        self._steady_from = now + (settings.owner_lifetime_s if has_to_wait else 0.0)
+        waits_for_expiry = not settings.takeover_part
+        self._steady_from = now + (
+            settings.owner_lifetime_s if waits_for_expiry else 0.0
+        )
         self._accounts: dict[str, _Account] = {}
         self._routers: dict[str, _RouterState] = {}
         self._total_use = UsageAverage(settings.usage_window_s, now)
@@ -79,8 +82,8 @@
     def steady_from(self) -> float:
         """Monotonic time from which the owner grants tokens, in seconds.
 
-        Without a ``takeover_part``, the grants of the previous owner have expired
-        by then.
+        Without a ``takeover_part``, this is the time at which the grants of the
+        previous owner have expired.
         """
         return self._steady_from
 
@@ -103,9 +106,9 @@
         -------
         reply : GrantReply
             One grant for each ask. The reply has no grants if the request is
-            repeated or was overtaken, because the router discards that reply. It
-            also has none until `steady_from`, so that routers keep the tokens of the
-            previous owner until these expire.
+            repeated or was overtaken, because the router discards that reply. The
+            reply also has no grants until `steady_from`, so that routers keep the
+            tokens of the previous owner until these expire.
         """
         self._now = max(self._now, now)
         router = f"{request.vm}/{request.incarnation}"
@@ -200,11 +203,11 @@
         waiting.remove(router)
         reserved = account.bucket.burst * self._settings.reserved_part
         unreserved = max(0, int(available - ask.waiting - reserved))
-        advance_tokens = min(ask.want - ask.waiting, unreserved // (len(waiting) + 1))
-        return ask.waiting + max(0, advance_tokens)
+        extra_tokens = min(ask.want - ask.waiting, unreserved // (len(waiting) + 1))
+        return ask.waiting + max(0, extra_tokens)
 
     def _retry_after_ms(self, account: _Account, router: str) -> int:
-        """Return the retry-after time of a router's waiting work, 0 if it may wait."""
+        """Return the retry-after time of a router's work in ms, 0 if work may wait."""
         if self._now < self._started_at + self._settings.grace_s:
             return 0
         missing_tokens = account.waiting.wanted_through(router) - account.bucket.level
@@ -244,11 +247,11 @@
                 del self._accounts[name]
 
     def _drop_inactive_routers(self) -> None:
-        oldest_kept = self._now - ROUTER_RETENTION_S
+        oldest_kept_at = self._now - ROUTER_RETENTION_S
         inactive = [
             name
             for name, router in self._routers.items()
-            if router.last_request_at < oldest_kept
+            if router.last_request_at < oldest_kept_at
         ]
         for name in inactive:
             del self._routers[name]
--- a/berylnotch/quota/usage.py
+++ b/berylnotch/quota/usage.py
@@ -44,10 +44,10 @@
         return self._tokens / self._window_s
 
     def _decay(self, now: float) -> None:
-        elapsed = now - self._updated_at
-        if elapsed <= 0:
+        elapsed_s = now - self._updated_at
+        if elapsed_s <= 0:
             return
-        self._tokens *= math.exp(-elapsed / self._window_s)
+        self._tokens *= math.exp(-elapsed_s / self._window_s)
         self._updated_at = now
 
 
@@ -59,7 +59,7 @@
     Parameters
     ----------
     use, share : float
-        Use of the organisation in tokens a second, and its weight.
+        Use of the organisation in tokens a second, and weight of the organisation.
     total_use, total_share : float
         Sums of use and weight over all organisations with any use.
     """
--- a/berylnotch/quota/waiting.py
+++ b/berylnotch/quota/waiting.py
@@ -24,7 +24,7 @@
     Parameters
     ----------
     retention_s : float
-        Time in seconds after which a router that has not asked again is removed.
+        Seconds without an ask after which a router is removed.
     """
 
     def __init__(self, retention_s: float) -> None:
@@ -51,11 +51,11 @@
         if now - self._last_expiry_at < self._retention_s:
             return
         self._last_expiry_at = now
-        oldest_kept = now - self._retention_s
+        oldest_kept_at = now - self._retention_s
         expired = [
             name
             for name, entry in self._entries.items()
-            if entry.asked_at < oldest_kept
+            if entry.asked_at < oldest_kept_at
         ]
         for name in expired:
             self.remove(name)
