--- a/berylnotch/admission/errors.py
+++ b/berylnotch/admission/errors.py
@@ -1,4 +1,4 @@
-"""Errors of admission."""
+"""Errors of the admission queue."""
 
 from __future__ import annotations
 
--- a/berylnotch/admission/retry.py
+++ b/berylnotch/admission/retry.py
@@ -11,7 +11,7 @@
 
 
 class RetryDecision(Enum):
-    """Whether to retry, or the reason not to."""
+    """Whether to retry or, if not, the reason."""
 
     RETRY = "retry"
     NOT_IDEMPOTENT = "not-idempotent"
@@ -31,8 +31,8 @@
         Largest number of attempts of one request, including the first.
     ratio : float, default=0.1
         Retries that each first attempt adds to the budget of its service. A
-        higher ratio hides more failures, and adds as much load while targets are
-        overloaded.
+        higher ratio hides more failures, but adds as large a part to the load
+        of overloaded targets.
     reserve : float, default=10.0
         Largest number of retries that a service can accumulate, and its initial
         budget.
@@ -74,7 +74,7 @@
     Parameters
     ----------
     settings : RetrySettings
-        Ratio and reserve.
+        Ratio and reserve of the budget.
     """
 
     def __init__(self, settings: RetrySettings) -> None:
@@ -114,8 +114,8 @@
 ) -> RetryDecision:
     """Decide whether to make another attempt.
 
-    A request that is not idempotent is repeated only if it is certain that no
-    target ran it. The calling code takes the retry from the budget after a
+    A request that is not idempotent is repeated only if certainly no target ran the
+    request. The calling code takes the retry from the budget after a
     `RetryDecision.RETRY`.
     """
     if attempt.mark is RunMark.RAN:
--- a/berylnotch/admission/settings.py
+++ b/berylnotch/admission/settings.py
@@ -8,7 +8,7 @@
 
 @frozen
 class AdmissionSettings:
-    """Bounds of the queue.
+    """Bounds of the admission queue of a router.
 
     Parameters
     ----------
@@ -16,8 +16,8 @@
         Largest number of requests that wait in one router. A larger queue costs
         memory and holds requests that cannot be served in time.
     free_fraction : float, default=1.0
-        An organisation may occupy at most this multiple of the slots that are
-        still free, so that other organisations always find free slots.
+        An organisation may occupy at most this multiple of the queue's free places,
+        so that other organisations always find free places.
     max_wait_s : float, default=5.0
         Longest expected wait in seconds; a request that would wait longer is
         refused at once.
@@ -26,7 +26,7 @@
     recheck_s : float, default=0.1
         Time in seconds for which an organisation is deferred after its oldest
         request did not fit, unless tokens or capacity become available earlier. A
-        longer time saves CPU time.
+        longer deferral saves CPU time.
     """
 
     max_tickets: int = field(default=1024, validator=gt(0))
--- a/berylnotch/admission/ticket.py
+++ b/berylnotch/admission/ticket.py
@@ -1,4 +1,4 @@
-"""Waiting request, and the refusal of a request."""
+"""Tickets of waiting requests, and refusals of requests that are not queued."""
 
 from __future__ import annotations
 
