--- a/berylnotch/consensus/leading.py
+++ b/berylnotch/consensus/leading.py
@@ -73,8 +73,8 @@
 
         The result is false during the first ``lease_s`` after the election.
         """
-        start = max(self.lease_started_at(now), self._elected_at)
-        return now - start >= self._core.settings.lease_s
+        quorum_since = max(self.lease_started_at(now), self._elected_at)
+        return now - quorum_since >= self._core.settings.lease_s
 
     def tick(self, now: float) -> None:
         """Start a heartbeat round if one is due."""
@@ -245,7 +245,7 @@
 
     def _send_snapshot_part(self, replica: str, progress: Progress) -> None:
         core, snapshot = self._core, progress.snapshot
-        end = progress.offset + core.settings.snapshot_part_bytes
+        end_offset = progress.offset + core.settings.snapshot_part_bytes
         request = SnapshotRequest(
             core.term,
             core.identity,
@@ -253,8 +253,8 @@
             snapshot.last_term,
             snapshot.members,
             progress.offset,
-            snapshot.data[progress.offset : end],
-            end >= len(snapshot.data),
+            snapshot.data[progress.offset : end_offset],
+            end_offset >= len(snapshot.data),
             self._rounds.number,
             core.address,
             replica,
--- a/berylnotch/consensus/storage.py
+++ b/berylnotch/consensus/storage.py
@@ -114,7 +114,7 @@
         if not ready.must_save:
             return
         with self._mutex:
-            self._run_guarded(self._save, ready)
+            self._run_unless_failed(self._save, ready)
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
         """Save a snapshot of this replica's state, then remove the segments covered.
@@ -136,7 +136,7 @@
         except OSError as error:
             raise StorageError(f"{self._folder}: {error}") from error
         with self._mutex:
-            self._run_guarded(self._remove_compacted_segments, snapshot)
+            self._run_unless_failed(self._remove_compacted_segments, snapshot)
 
     def close(self) -> None:
         """Close the open files and unlock the folder."""
@@ -239,7 +239,7 @@
                 max(self._highest_index_by_segment), ready.entries[-1].index
             )
 
-    def _run_guarded(self, action: Callable[[T], None], argument: T) -> None:
+    def _run_unless_failed(self, action: Callable[[T], None], argument: T) -> None:
         if self._has_failed or self._file is None:
             raise StorageError(f"{self._folder}: storage is closed or has failed")
         try:
