--- a/berylnotch/control/changes.py
+++ b/berylnotch/control/changes.py
@@ -70,11 +70,11 @@
     if command.key_id in data.withdrawn_keys:
         message = f"key {command.key_id} was withdrawn; make a new one"
         raise CommandError(Status.EXISTS, message)
-    existing = keyring.find_by_id(command.key_id) or keyring.find_by_hash(
+    existing_key = keyring.find_by_id(command.key_id) or keyring.find_by_hash(
         command.key_hash
     )
-    if existing is not None:
-        raise CommandError(Status.EXISTS, f"key {existing.key_id} exists already")
+    if existing_key is not None:
+        raise CommandError(Status.EXISTS, f"key {existing_key.key_id} exists already")
     data.key_issued_ms[command.key_id] = context.at_ms
     event = KeyGiven(command.key_id, command.organisation, command.key_hash)
     return CommandEffect(events=(event,))
@@ -90,8 +90,8 @@
             return CommandEffect("the key was withdrawn already")
         raise CommandError(Status.NOT_FOUND, f"there is no key {command.key_id!r}")
     issued_ms = data.key_issued_ms.pop(command.key_id, 0)
-    line = KeyLine(command.key_id, key.organisation, issued_ms, context.at_ms)
-    data.withdrawn_keys[command.key_id] = line
+    key_line = KeyLine(command.key_id, key.organisation, issued_ms, context.at_ms)
+    data.withdrawn_keys[command.key_id] = key_line
     if len(data.withdrawn_keys) > MAX_WITHDRAWN_KEYS:
         del data.withdrawn_keys[next(iter(data.withdrawn_keys))]
     return CommandEffect(events=(KeyWithdrawn(command.key_id),))
@@ -140,13 +140,13 @@
 
 
 def _format_conflict(data: StateData, command: ApplyText) -> str:
-    base = f"this change is based on revision {command.base_revision}"
+    base_message = f"this change is based on revision {command.base_revision}"
     if not data.view.revision:
-        return f"no text is in force; {base}"
+        return f"no text is in force; {base_message}"
     applied_at = format_ms(data.text_at_ms)
     return (
         f"revision {data.view.revision} is in force, "
-        f"applied by {data.text_operator} at {applied_at}; {base}"
+        f"applied by {data.text_operator} at {applied_at}; {base_message}"
     )
 
 
@@ -156,8 +156,8 @@
     events = []
     for target in fleet.targets.values():
         service = fleet.services[target.service]
-        previous = data.view.fleet.targets.get(target.name)
-        is_new = previous is None or previous.service != target.service
+        previous_target = data.view.fleet.targets.get(target.name)
+        is_new = previous_target is None or previous_target.service != target.service
         if service.kind is ServiceKind.LANGUAGE and is_new:
             version = service.weights
             events.append(WeightsChanged(target.name, service.name, version, 0))
@@ -168,8 +168,8 @@
     data: StateData, context: ApplyContext, operator: str, fleet: Fleet
 ) -> None:
     for service in fleet.services.values():
-        previous = data.view.fleet.services.get(service.name)
-        if previous is not None and previous.weights != service.weights:
+        previous_service = data.view.fleet.services.get(service.name)
+        if previous_service is not None and previous_service.weights != service.weights:
             version = service.weights
             data.order_book.start(
                 _build_rollout(context, operator, service.name, version)
--- a/berylnotch/control/eventlog.py
+++ b/berylnotch/control/eventlog.py
@@ -45,12 +45,12 @@
         """Return the events after a version, or None if some were evicted."""
         if version < self._base_version:
             return None
-        newer = []
+        newer_events = []
         for event in reversed(self._events):
             if event.version <= version:
                 break
-            newer.append(event)
-        return tuple(reversed(newer))
+            newer_events.append(event)
+        return tuple(reversed(newer_events))
 
     def _is_over_limit(self) -> bool:
         return len(self._events) > MAX_EVENTS or self._total_bytes > MAX_EVENT_BYTES
--- a/berylnotch/control/state.py
+++ b/berylnotch/control/state.py
@@ -261,13 +261,13 @@
         if record is None:
             return None
         description = describe(command)
-        recorded = (
+        recorded_fields = (
             record.operator,
             record.action,
             record.subject,
             record.base_revision,
         )
-        if recorded != (
+        if recorded_fields != (
             description.operator,
             description.action,
             description.subject,
