--- a/berylnotch/quota/bucket.py
+++ b/berylnotch/quota/bucket.py
@@ -126,15 +126,15 @@
         if grant is None:
             grant = OutstandingGrant(tokens=0, spent=spent, expires_at=0.0)
             self._grants[router] = grant
-        used = max(0, spent - grant.spent)
+        used_tokens = max(0, spent - grant.spent)
         still_held = min(held, grant.tokens)
-        unused = max(0, grant.tokens - still_held - used)
+        unused_tokens = max(0, grant.tokens - still_held - used_tokens)
         self._outstanding += still_held - grant.tokens
         grant.tokens = still_held
         grant.spent = spent
-        self._level += unused
+        self._level += unused_tokens
         self._cap_level()
-        return used
+        return used_tokens
 
     def grant(self, router: str, tokens: int, expires_at: float) -> int:
         """Grant tokens from the bucket to a router that has reported before.
--- a/berylnotch/quota/holding.py
+++ b/berylnotch/quota/holding.py
@@ -96,10 +96,9 @@
     def build_ask(self, now: float, organisation: str) -> QuotaAsk | None:
         """Return the organisation's ask to the owner, or None if no ask is due.
 
-        The router gives up tokens above the target amount. If the held
-        tokens are too few for the first waiting work, the router gives up all of them,
-        so that two routers do not block each other by each holding a part of the
-        tokens.
+        The router gives up tokens above the target amount. If the held tokens are too
+        few for the first waiting work, the router gives up all of them, so that two
+        routers do not block each other by each holding a part of the tokens.
         """
         target_tokens = self._target_tokens(now)
         if not self._is_due(now, target_tokens):
@@ -112,14 +111,14 @@
         self.asked_at = now
         self.asked_first_want = self.first_want
         self.is_answered = False
-        waiting = max(0, self.first_want - self.tokens)
+        waiting_tokens = max(0, self.first_want - self.tokens)
         return QuotaAsk(
             organisation=organisation,
             want=target_tokens - self.tokens,
             held=self.tokens,
             spent=self.spent,
-            waiting=waiting,
-            queued=max(waiting, self.want - self.tokens),
+            waiting=waiting_tokens,
+            queued=max(waiting_tokens, self.want - self.tokens),
         )
 
     def apply_grant(self, lifetime_start: float, grant: Grant) -> None:
--- a/berylnotch/quota/local.py
+++ b/berylnotch/quota/local.py
@@ -63,8 +63,8 @@
     def asks(self, now: float) -> tuple[QuotaAsk, ...]:
         """Open an exchange with the owner and return the asks for its request.
 
-        The request must carry `sequence`. The request is sent even without
-        asks, because requests are the router's heartbeat.
+        The request must carry `sequence`. The request is sent even without asks,
+        because requests are the router's heartbeat.
         """
         self._advance_clock(now)
         self._sequence += 1
--- a/berylnotch/quota/owner.py
+++ b/berylnotch/quota/owner.py
@@ -156,9 +156,9 @@
     def _grant_ask(self, router: str, ask: QuotaAsk, limit: Limit) -> Grant:
         account = self._get_account(ask.organisation, limit)
         bucket = account.bucket
-        used = bucket.record_report(router, ask.held, ask.spent)
-        account.usage.add(self._now, used)
-        self._total_use.add(self._now, used)
+        used_tokens = bucket.record_report(router, ask.held, ask.spent)
+        account.usage.add(self._now, used_tokens)
+        self._total_use.add(self._now, used_tokens)
         tokens = self._grant_size(account, router, ask)
         expires_at = self._now + self._settings.owner_lifetime_s
         return Grant(
@@ -193,16 +193,16 @@
         """Return the tokens to grant: 0, or enough for the first waiting work."""
         waiting = account.waiting
         level = account.bucket.level
-        available = int(level - waiting.needed_ahead_of(router, level))
+        available_tokens = int(level - waiting.needed_ahead_of(router, level))
         if ask.waiting > account.bucket.burst:
             waiting.remove(router)
             return 0
-        if ask.waiting and available < ask.waiting:
+        if ask.waiting and available_tokens < ask.waiting:
             waiting.enqueue(self._now, router, ask.queued or ask.want, ask.waiting)
             return 0
         waiting.remove(router)
-        reserved = account.bucket.burst * self._settings.reserved_part
-        unreserved = max(0, int(available - ask.waiting - reserved))
+        reserved_tokens = account.bucket.burst * self._settings.reserved_part
+        unreserved = max(0, int(available_tokens - ask.waiting - reserved_tokens))
         extra_tokens = min(ask.want - ask.waiting, unreserved // (len(waiting) + 1))
         return ask.waiting + max(0, extra_tokens)
 
--- a/berylnotch/quota/waiting.py
+++ b/berylnotch/quota/waiting.py
@@ -39,12 +39,12 @@
         """Return the tokens wanted by a router and all ahead of it, 0 if not queued."""
         if router not in self._entries:
             return 0
-        wanted = 0
+        wanted_tokens = 0
         for name, entry in self._entries.items():
-            wanted += entry.want
+            wanted_tokens += entry.want
             if name == router:
                 break
-        return wanted
+        return wanted_tokens
 
     def expire(self, now: float) -> None:
         """Remove routers that have not asked again within the retention time."""
@@ -79,9 +79,9 @@
 
         The summation stops once the sum exceeds ``level``.
         """
-        needed = 0
+        needed_tokens = 0
         for name, entry in self._entries.items():
-            if name == router or needed > level:
+            if name == router or needed_tokens > level:
                 break
-            needed += entry.first_want
-        return needed
+            needed_tokens += entry.first_want
+        return needed_tokens
