--- a/berylnotch/admission/retry.py
+++ b/berylnotch/admission/retry.py
@@ -31,8 +31,8 @@
         Largest number of attempts of one request, including the first.
     ratio : float, default=0.1
         Retries that each first attempt adds to the budget of its service. A
-        higher ratio hides more failures, but adds as large a part to the load
-        of overloaded targets.
+        higher ratio hides more failures, but adds load in the same proportion
+        while targets are overloaded.
     reserve : float, default=10.0
         Largest number of retries that a service can accumulate, and its initial
         budget.
