--- a/berylnotch/consensus/election.py
+++ b/berylnotch/consensus/election.py
@@ -48,7 +48,7 @@
 
     @property
     def can_resume(self) -> bool:
-        """Whether no other replica can hold a lease, so this one need not wait."""
+        """Whether no other replica can hold a lease, so that no wait is needed."""
         return has_quorum(self._core.members, self._supporters)
 
     def start_pre_vote(self, now: float) -> None:
--- a/berylnotch/consensus/messages.py
+++ b/berylnotch/consensus/messages.py
@@ -125,8 +125,8 @@
 class AppendReply:
     """Reply to an `AppendRequest`.
 
-    ``match`` is the last index up to which the logs are equal. If ``ok`` is false, it
-    is a hint: the last index up to which the logs may be equal.
+    ``match`` is the last index up to which the logs are equal. If ``ok`` is
+    false, ``match`` is a hint: the last index up to which the logs may be equal.
     """
 
     term: int
--- a/berylnotch/consensus/progress.py
+++ b/berylnotch/consensus/progress.py
@@ -70,8 +70,8 @@
         self.acked_round_sent_at = NEVER
         #: Arrival time of the replica's last reply, in monotonic seconds.
         self.last_contact_at = NEVER
-        #: Whether the last index at which the logs are equal is unknown. Only one
-        #: request at a time is then sent.
+        #: Whether the last index at which the logs are equal is unknown, so that
+        #: requests are sent one at a time.
         self.is_probing = True
         #: Whether the newest request has no reply yet. While probing or sending a
         #: snapshot, the next request waits for the reply, for the next heartbeat round
--- a/berylnotch/consensus/storage.py
+++ b/berylnotch/consensus/storage.py
@@ -87,7 +87,7 @@
         Raises
         ------
         DamagedFileError
-            If a file is damaged, except if a crash interrupted the last save.
+            If a file is damaged. A last save that a crash cut off is not damage.
         CopiedFolderError
             If the folder was copied or restored.
         StorageError
