--- a/berylnotch/control/eventlog.py
+++ b/berylnotch/control/eventlog.py
@@ -45,19 +45,19 @@
         """Return the events after a version, or None if some were evicted."""
         if version < self._base_version:
             return None
-        newer = []
+        newer_events = []
         for event in reversed(self._events):
             if event.version <= version:
                 break
-            newer.append(event)
-        return tuple(reversed(newer))
+            newer_events.append(event)
+        return tuple(reversed(newer_events))
 
     def _is_over_limit(self) -> bool:
         return len(self._events) > MAX_EVENTS or self._total_bytes > MAX_EVENT_BYTES
 
     def _evict_oldest_version(self) -> None:
-        # Subscribers apply the events of one version all together, so that they are
-        # also evicted together.
+        # Subscribers apply all events of a version together, so these events are also
+        # evicted together.
         self._base_version = self._events[0].version
         while self._events and self._events[0].version == self._base_version:
             self._total_bytes -= len(self._events.popleft().event)
