--- a/berylnotch/consensus/leading.py
+++ b/berylnotch/consensus/leading.py
@@ -92,9 +92,7 @@
         if uncommitted >= settings.max_uncommitted_entries:
             raise OverloadedError(f"{uncommitted} proposals wait for a majority")
         if self._uncommitted_bytes >= settings.max_uncommitted_bytes:
-            raise OverloadedError(
-                f"proposals of {self._uncommitted_bytes} bytes wait for a majority"
-            )
+            raise OverloadedError(f"{self._uncommitted_bytes} bytes wait likewise")
         return self._append_entry(EntryKind.COMMAND, payload)
 
     def propose_members(self, members: Members) -> int:
