--- a/berylnotch/admission/queue.py
+++ b/berylnotch/admission/queue.py
@@ -46,8 +46,9 @@
     with a worse priority has used more than its share over all routers, so its
     weight is reduced.
 
-    Each operation costs O(log n) on average. An organisation whose oldest
-    request does not fit is deferred until `wake` is called or ``recheck_s`` passes.
+    Each operation costs O(log n) on average. If capacity or tokens are
+    insufficient for an organisation's oldest request, the organisation is deferred
+    until `wake` is called or ``recheck_s`` passes.
 
     Parameters
     ----------
--- a/berylnotch/admission/retry.py
+++ b/berylnotch/admission/retry.py
@@ -11,7 +11,7 @@
 
 
 class RetryDecision(Enum):
-    """Whether to retry or, if not, the reason."""
+    """Decision to retry, or the reason not to retry."""
 
     RETRY = "retry"
     NOT_IDEMPOTENT = "not-idempotent"
--- a/berylnotch/admission/settings.py
+++ b/berylnotch/admission/settings.py
@@ -24,9 +24,9 @@
     rate_window_s : float, default=2.0
         Time constant of the average service rate, in seconds.
     recheck_s : float, default=0.1
-        Time in seconds for which an organisation is deferred after its oldest
-        request did not fit, unless tokens or capacity become available earlier. A
-        longer deferral saves CPU time.
+        Time in seconds for which an organisation is deferred if capacity or tokens
+        are insufficient for its oldest request, unless they become available
+        earlier. A longer deferral saves CPU time.
     """
 
     max_tickets: int = field(default=1024, validator=gt(0))
--- a/berylnotch/admission/ticket.py
+++ b/berylnotch/admission/ticket.py
@@ -40,7 +40,7 @@
 
 
 class Fit(Enum):
-    """Whether a waiting request may run now."""
+    """Result of the check for capacity and tokens to run a waiting request."""
 
     FITS = "fits"
     NO_CAPACITY = "no-capacity"
@@ -48,7 +48,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a request was not queued."""
+    """Reason for which a request was not queued."""
 
     QUEUE_FULL = "queue-full"
     ORGANISATION_FULL = "organisation-full"
--- a/berylnotch/consensus/core.py
+++ b/berylnotch/consensus/core.py
@@ -92,8 +92,8 @@
         """Whether this replica may stand for election.
 
         A replica whose removal is not yet committed may still stand. The log of that
-        replica may be the only one that holds the removal. In that case the other replicas
-        may be unable to elect a leader without the vote of that replica.
+        replica may be the only one that holds the removal. In that case the other
+        replicas may be unable to elect a leader without the vote of that replica.
         """
         if self.identity in voter_ids(self.members):
             return True
--- a/berylnotch/control/state.py
+++ b/berylnotch/control/state.py
@@ -177,7 +177,7 @@
             check_field_sizes(command)
         except CommandError as error:
             return AppliedCommand(self._build_result(error.status, str(error)))
-        recorded_result = self._find_resent_result(command)
+        recorded_result = self._find_recorded_result(command)
         return (
             AppliedCommand(recorded_result)
             if recorded_result
@@ -255,7 +255,7 @@
         """Return the newest rollout of each service."""
         return tuple(self._data.order_book.rollouts.values())
 
-    def _find_resent_result(self, command: Any) -> Result | None:
+    def _find_recorded_result(self, command: Any) -> Result | None:
         change_id = getattr(command, "change_id", "")
         record = self._audit.find(change_id) if change_id else None
         if record is None:
--- a/berylnotch/daemon/controller/reads.py
+++ b/berylnotch/daemon/controller/reads.py
@@ -1,4 +1,4 @@
-"""Read requests of operators to the leader, and checks of their commands."""
+"""Answers to operators' read requests at the leader, and checks of their commands."""
 
 from __future__ import annotations
 
--- a/berylnotch/daemon/router/proposer.py
+++ b/berylnotch/daemon/router/proposer.py
@@ -26,9 +26,10 @@
 class Proposer:
     """Retries a command until the leader answers; runs in the loop's thread.
 
-    Commands must be idempotent, because a command may be applied more than once: a
-    claim is identified by its attempt, and setting a state to the same value again has
-    no effect.
+    Commands must be idempotent, because a command may be applied more than once. A
+    claim, the right to run a non-idempotent request once, is identified by the
+    ``attempt`` field of its command. Setting a state to the same value again has no
+    effect.
 
     Parameters
     ----------
--- a/berylnotch/entry/admission.py
+++ b/berylnotch/entry/admission.py
@@ -33,7 +33,7 @@
 
 @frozen
 class AdmissionDecision:
-    """Whether a request is sent, and the caller's retry delay if it is refused."""
+    """Decision to send or refuse a request, with the retry delay after a refusal."""
 
     is_admitted: bool
     retry_after_s: float = 0.0
--- a/berylnotch/entry/choice.py
+++ b/berylnotch/entry/choice.py
@@ -37,7 +37,8 @@
 COPY_COST_MS_PER_1K = 6.0
 
 #: Cost, in ms for 1,000 tokens, of processing a shared prefix that another engine has
-#: processed or is processing. Meanwhile, other prompts with as many tokens are delayed.
+#: processed or is processing. In this time, the engine could process the same number of
+#: tokens of other prompts, and these prompts are delayed.
 REPROCESSING_COST_MS_PER_1K = 240.0
 
 #: Cost reduction, in ms, for the home of a prompt while the home still has to process
@@ -90,7 +91,7 @@
     The home of a short prompt is computed from its shared parts among the engines with
     the same weights. Other engines try to copy the shared parts from the home, even if
     the home may not hold them. A failed attempt costs less than processing the parts,
-    and routers need not exchange notes about short prompts.
+    and routers need not notify each other about the engines that hold short prompts.
     """
     usable = sampled_targets(targets, inputs)
     homes: dict[int | None, Target] = {}
--- a/berylnotch/entry/model.py
+++ b/berylnotch/entry/model.py
@@ -23,14 +23,14 @@
     model : str
         Model of the request, empty for plain services.
     wanted_version : int
-        Newest named version of the model's weights.
+        Newest announced version of the model's weights.
     outdated_s : callable
-        Returns the seconds since a version newer than its argument was named.
+        Returns the seconds since a version newer than its argument was announced.
     fresh_s : float
-        Longest time, in seconds, after a newer version was named during which older
+        Longest time, in seconds, after a newer version was announced during which older
         weights have no extra cost.
     stale_s : float
-        Time, in seconds, after a newer version was named from which no request may
+        Time, in seconds, after a newer version was announced from which no request may
         begin on older weights.
     target_latency_s : float
         Time within which the first event should arrive, in seconds; 0 if the route
--- a/berylnotch/entry/pricing.py
+++ b/berylnotch/entry/pricing.py
@@ -15,7 +15,7 @@
 #: Multiple of the expected delay within which an engine certainly begins a request.
 LATEST_START_FACTOR = 1.5
 
-#: Cost of running on weights older than the newest named version, in ms.
+#: Cost of running on weights older than the newest announced version, in ms.
 OUTDATED_WEIGHTS_MS = 400.0
 
 #: Cost of an answer that misses its target latency, in ms. It is three times the cost
--- a/berylnotch/entry/settings.py
+++ b/berylnotch/entry/settings.py
@@ -39,28 +39,30 @@
     retry_after_s : float, default=0.5
         Retry time for a refused caller if no better estimate exists.
     grant_retry_s : float, default=1.0
-        Retry time for a caller whose request was refused because no tokens arrived. It
-        covers the remaining time of a usual change of leader, which takes about 1.5 s
-        in all.
+        Retry time for a caller whose request was refused because the quota owner
+        granted no tokens in time, for instance during a change of leader. A usual
+        change takes about 1.5 s in all, and the retry time covers the rest of it.
     weights_margin_s : float, default=1.0
         Time before the operators' limit for outdated weights from which no request is
         sent to an engine with such weights.
     fresh_weights_s : float, default=1.2
-        Time after new weights were named during which older weights have no extra cost.
+        Time after the announcement of a newer weights version during which older
+        weights have no extra cost.
     quota_wait_s : float, default=0.45
         Longest wait for tokens of an organisation's limit.
     slow_factor : float, default=2.5
         Multiple of a route's target latency after which a repeatable request
-        without an answer goes to another target; callers wait for four times the
-        target latency.
+        without an answer goes to another target. Callers abandon a stream at four
+        times the target latency.
     stall_s : float, default=2.0
         Time without an event after which a resumable stream resumes at another target.
     weights_load_s : float, default=2.2
         Time that an engine usually takes to load weights.
     max_routers_unsampled : int, default=12
         Largest number of routers with which each router compares all targets. With more
-        routers, each compares a sample, because this many routers send about one
-        request each while a load report is in transit.
+        routers, each compares a sample. This many routers send about one request each
+        while a load report is in transit; if more routers compared all targets by
+        the same old reports, they would choose the same best target.
     sample_size : int, default=3
         Number of targets in the sample that a router compares. Two random choices give
         most of the benefit by the usual analysis ("power of two choices"); the third
--- a/berylnotch/gateways/orders.py
+++ b/berylnotch/gateways/orders.py
@@ -1,4 +1,7 @@
-"""Orders to engines; the fencing token is the log index of an order's commit."""
+"""Orders to engines.
+
+The fencing token of an order is the index of the order's entry in the replicated log.
+"""
 
 from __future__ import annotations
 
--- a/berylnotch/net/client.py
+++ b/berylnotch/net/client.py
@@ -20,14 +20,14 @@
 
 _READ_BYTES = 64 * 1024
 
-#: Number of bytes by which the overhead of one exchange may exceed the length of the
+#: Maximum overhead of one exchange, in bytes, in addition to the length of the
 #: response's body. Overhead is every received byte outside this body: heads, interim
 #: responses, responses to other requests, chunk sizes and trailers.
 MAX_OVERHEAD_BYTES = 256 * 1024
 
 
 class Failure(Enum):
-    """Whether the target may have seen a request whose exchange failed."""
+    """Kind of failed exchange, by whether the target may have read the request."""
 
     #: No byte left this process, so the target has not seen the request.
     NOT_SENT = "not_sent"
@@ -115,12 +115,12 @@
         self._delivered_bytes = 0
         self._parser: httptools.HttpResponseParser | None = None
         self._headers = Headers()
-        #: Boot time in seconds at which the connection became idle.
+        #: Time at which the connection became idle, in seconds since boot.
         self.idle_since = 0.0
         #: Idle timeout in seconds that the target announced in ``Keep-Alive``, if any.
         self.keep_alive_s: float | None = None
         #: Called when the connection closes, whether idle or in use.
-        self.on_idle_close: Callable[[ClientConnection], None] | None = None
+        self.on_close: Callable[[ClientConnection], None] | None = None
 
     @property
     def is_closed(self) -> bool:
@@ -362,5 +362,5 @@
         if self._sock is not None:
             self._loop.watch(self._sock, 0, self._on_ready)
             self._sock.close()
-        if self.on_idle_close is not None:
-            self.on_idle_close(self)
+        if self.on_close is not None:
+            self.on_close(self)
--- a/berylnotch/net/server.py
+++ b/berylnotch/net/server.py
@@ -331,7 +331,7 @@
         self.on_refused = on_refused
         #: Whether each connection is closed after its current response.
         self.is_draining = False
-        #: Boot time in seconds at which the newest connection was accepted.
+        #: Time at which the newest connection was accepted, in seconds since boot.
         self.accepted_at = 0.0
         self._connections: set[ServerConnection] = set()
         self._acceptor = Acceptor(loop, address, self._accept)
--- a/berylnotch/placement/costs.py
+++ b/berylnotch/placement/costs.py
@@ -32,10 +32,10 @@
 
 #: Initial estimates of the share of the prefill queue for which a request waits. The
 #: share of urgent requests is lower, since engines admit them before the others.
-#: ``INITIAL_QUEUE_SHARE`` is also the upper bound of a measured share, and
-#: ``MIN_QUEUE_SHARE`` its lower bound.
+#: For all other requests, the initial estimate is ``MAX_QUEUE_SHARE``, the upper bound
+#: of a measured share; ``MIN_QUEUE_SHARE`` is the lower bound.
 INITIAL_URGENT_QUEUE_SHARE = 0.3
-INITIAL_QUEUE_SHARE = 1.0
+MAX_QUEUE_SHARE = 1.0
 MIN_QUEUE_SHARE = 0.03
 
 #: Prefill queue in ms below which the wait of a request is not used to estimate the
@@ -141,7 +141,7 @@
 
     def queue_share(self, priority: int, is_urgent: bool) -> float:
         """Return the share of the prefill queue that delays a priority's requests."""
-        initial = INITIAL_URGENT_QUEUE_SHARE if is_urgent else INITIAL_QUEUE_SHARE
+        initial = INITIAL_URGENT_QUEUE_SHARE if is_urgent else MAX_QUEUE_SHARE
         return self._queue_shares.get(priority, initial)
 
     def record_queue_wait(
@@ -171,7 +171,7 @@
         if queue_ms < MIN_QUEUE_MS:
             return
         waited_ms = first_token_ms - self.base_ms - tokens * self.token_ms
-        share = min(INITIAL_QUEUE_SHARE, max(MIN_QUEUE_SHARE, waited_ms / queue_ms))
+        share = min(MAX_QUEUE_SHARE, max(MIN_QUEUE_SHARE, waited_ms / queue_ms))
         estimate = self.queue_share(priority, is_urgent)
         self._queue_shares[priority] = (
             estimate + (share - estimate) * QUEUE_SHARE_SMOOTHING
--- a/berylnotch/placement/rank.py
+++ b/berylnotch/placement/rank.py
@@ -18,7 +18,7 @@
 
 @frozen
 class _Source:
-    """Target or KV store with the most confirmed leading blocks."""
+    """Target or KV store with its number of confirmed leading blocks."""
 
     name: str = ""
     blocks: int = 0
--- a/berylnotch/standins/generation.py
+++ b/berylnotch/standins/generation.py
@@ -29,12 +29,12 @@
     model: str
     prompt: bytes
     tokens: int
-    seed: str
+    content_digest: str
 
     @property
     def answer_id(self) -> str:
         """Identifier in the JSON of the response."""
-        return ("chatcmpl-" if self.chat else "cmpl-") + self.seed
+        return ("chatcmpl-" if self.chat else "cmpl-") + self.content_digest
 
     @property
     def events(self) -> int:
@@ -68,8 +68,8 @@
         raise BadBodyError(f"bad body: {error!r}") from error
     options = fields.get("stream_options") or {}
     prompt_bytes = prompt.encode()
-    seed = hashlib.blake2b(digest_size=6, key=weights.encode()[:64])
-    seed.update(model.encode() + b"\0" + prompt_bytes)
+    digest = hashlib.blake2b(digest_size=6, key=weights.encode()[:64])
+    digest.update(model.encode() + b"\0" + prompt_bytes)
     return Generation(
         chat=chat,
         stream=bool(fields.get("stream")),
@@ -77,13 +77,13 @@
         model=model,
         prompt=prompt_bytes,
         tokens=max(1, tokens),
-        seed=seed.hexdigest(),
+        content_digest=digest.hexdigest(),
     )
 
 
 def token_text(generation: Generation, number: int) -> str:
     """Return the token with this number, counted from 1."""
-    return f"{generation.seed[:4]}-{number} "
+    return f"{generation.content_digest[:4]}-{number} "
 
 
 def generated_text(generation: Generation) -> str:
@@ -120,7 +120,11 @@
         return f"id: {number}\ndata: {json.dumps(chunk)}\n\n".encode()
 
     def end(self) -> bytes:
-        """Return the end marker; its number shows whether events are missing."""
+        """Return the end marker.
+
+        Its id is one more than the number of events, so that a reader of the stream
+        can tell whether events are missing.
+        """
         return b"id: %d\ndata: [DONE]\n\n" % (self._generation.events + 1)
 
     def _chunk(self, choices: list[object]) -> dict[str, object]:
--- a/berylnotch/streams/actions.py
+++ b/berylnotch/streams/actions.py
@@ -8,7 +8,7 @@
 
 
 class RunMark(Enum):
-    """Whether a target ran a request, as reported to the caller."""
+    """Run status of a request at a target, as reported to the caller."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -16,7 +16,7 @@
 
 
 class FailureCause(Enum):
-    """Why an attempt failed."""
+    """Cause of the failure of an attempt."""
 
     CONNECT = "connect"
     LOST = "lost"
--- a/berylnotch/transport/link.py
+++ b/berylnotch/transport/link.py
@@ -29,9 +29,9 @@
         Time without a sent message after which a heartbeat is sent. The default is
         under a third of `silence_s`, so that one lost packet does not end a link.
     silence_s : float, default=0.9
-        Time without a received message after which a link is closed. The default is
-        below the shortest time without a message after which a VM counts as
-        unreachable.
+        Time without a received message after which a link is closed. A VM
+        counts as unreachable only after a longer time without a message, so the
+        default closes a link before its peer counts as unreachable.
     connect_s : float, default=0.3
         Maximum time until the connection is established. If the VM was not up yet when
         the first packet was sent, the kernel resends the packet only after one second;
@@ -107,7 +107,7 @@
 
     @property
     def heard_at(self) -> float:
-        """Boot time in seconds of the last received message."""
+        """Time of the last received message, in seconds since boot."""
         return self._last_received_at
 
     def start(self) -> None:
--- a/berylnotch/transport/packing.py
+++ b/berylnotch/transport/packing.py
@@ -26,7 +26,7 @@
 
 #: Minimum size, in bytes, of a message that is compressed; smaller messages hardly
 #: shrink.
-COMPRESS_BYTES = 2048
+MIN_COMPRESSED_BYTES = 2048
 
 #: First byte of a compressed message. MessagePack reserves this byte, so that no
 #: uncompressed message begins with it.
@@ -42,7 +42,7 @@
 def pack(message: object) -> bytes:
     """Encode an instance of an `attrs` class; large messages are compressed."""
     data = msgpack.packb((type(message).__name__, message), default=_to_plain_value)
-    if len(data) < COMPRESS_BYTES:
+    if len(data) < MIN_COMPRESSED_BYTES:
         return data
     return _COMPRESSED + zlib.compress(data, _COMPRESSION_LEVEL)
 
--- a/berylnotch/util/lines.py
+++ b/berylnotch/util/lines.py
@@ -14,8 +14,9 @@
 #: Seconds for which lines are buffered before they are written.
 FLUSH_INTERVAL_S = 0.1
 
-#: INFO lines of one event per second that are all written; of those above the limit,
-#: one in `SAMPLE_INTERVAL` is written. Warnings and errors are never sampled.
+#: Maximum number of INFO lines with the same event name that are written per second
+#: without sampling. Of further lines in that second, one in `SAMPLE_INTERVAL` is
+#: written. Warnings and errors are never sampled.
 MAX_LINES_PER_S = 100
 
 #: Above `MAX_LINES_PER_S`, one line in this many is written.
@@ -51,7 +52,7 @@
         self._buffer = bytearray()
         self._dropped_lines = 0
         self._sampled_out_lines = 0
-        self._count_second = 0
+        self._counted_second = 0
         self._counts_by_event: dict[str, int] = {}
         os.set_blocking(descriptor, False)
 
@@ -91,8 +92,8 @@
 
     def _is_sampled_out(self, event: str) -> bool:
         second = int(self._wall_time())
-        if second != self._count_second:
-            self._count_second = second
+        if second != self._counted_second:
+            self._counted_second = second
             self._counts_by_event.clear()
         count = self._counts_by_event.get(event, 0) + 1
         self._counts_by_event[event] = count
--- a/soak/run.py
+++ b/soak/run.py
@@ -274,6 +274,7 @@
         self._schedule_undo(lambda: self._restart(controller))
 
     def _proxy(self) -> None:
+        """Inject a fault into the connections to one target."""
         self._inject_proxy_fault(self._rng.choice(list(self._target_proxies.values())))
 
     def _links_cut(self) -> None:
@@ -290,6 +291,7 @@
         self._platform.loop.call_soon(lambda: proxy.set_mode(mode))
 
     def _mood(self) -> None:
+        """Set a random fault mode of one target."""
         target = self._rng.choice(list(self._platform.targets.values()))
         target.fault = self._rng.choice(FAULTS)
 
