--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -1,8 +1,9 @@
-"""Measures memory and time of the control state at its target size.
+"""Measures the control state's memory use and processing times at its design size.
 
 ``python -m benchmarks.control_state`` builds 2,900 organisations and 100,000
-keys and prints the memory, time and bytes of the state and a router's view. All
-steps run in this process; memory is the resident set from Linux's ``/proc``.
+keys. It prints the memory in use, the time of each step, and the sizes in bytes of the
+snapshots of the state and of a router's view. All steps run in this process; memory is
+the resident set from Linux's ``/proc``.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 def fleet_text(organisations: int, engines: int, vms: int) -> str:
-    """Return a fleet text, as operators write it, of the given size."""
+    """Return an operators' text that describes a fleet of the given size."""
     parts = ["[fleet]\nregion = r\nfailure-domains = a, b, c, d\n"]
     for number in range(vms):
         address = f"10.1.{number // 250}.{number % 250 + 1}:8000"
@@ -83,8 +84,8 @@
     return result
 
 
-def give_keys(applier: CommandApplier, organisations: int, keys: int) -> None:
-    """Give keys, spread evenly over the organisations."""
+def create_keys(applier: CommandApplier, organisations: int, keys: int) -> None:
+    """Create keys, spread evenly over the organisations."""
     rng = random.Random(1)
     for number in range(keys):
         applier.apply(
@@ -124,7 +125,7 @@
     applier = CommandApplier()
     run_timed("apply the text", lambda: applier.apply(ApplyText("t", "asha", 0, text)))
     organisations, keys = args.organisations, args.keys
-    run_timed(f"give {keys:,} keys", lambda: give_keys(applier, organisations, keys))
+    run_timed(f"give {keys:,} keys", lambda: create_keys(applier, organisations, keys))
     if args.claims:
         run_timed(
             "open claims", lambda: open_claims(applier, organisations, args.claims)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -23,7 +23,8 @@
     from benchmarks.workload import Request
     from berylnotch.fleet.model import Fleet, Organisation
 
-#: Age in seconds of the owner at the start of the run, so that all buckets are full.
+#: Time in seconds between the owner's start and the start of the run. Buckets start
+#: empty, and all of them fill up in this time.
 OWNER_AGE_S = 100.0
 
 #: One-way network delay in seconds between a router and the owner.
@@ -33,8 +34,9 @@
 ASK_POLL_S = 0.05
 
 #: Time constant in seconds of the usage average that priorities are computed from.
-#: Ten seconds cover too few requests of a small organisation: a single session made
-#: it lose priority to an organisation that sends five times its rate.
+#: An average over ten seconds covers too few requests of a small organisation: a single
+#: session gave the small organisation a lower priority than an organisation that sends
+#: five times its rate.
 USAGE_WINDOW_S = 60.0
 
 #: Longest time in seconds that a request waits for tokens.
@@ -43,9 +45,11 @@
 
 @define
 class _ReferenceBucket:
-    """One central token bucket, against which wrongful refusals are judged.
+    """Central token bucket that shows which refusals were wrongful.
 
-    It is charged with every request that runs and refilled without delay.
+    A refusal is wrongful if this bucket held enough tokens for the request and all that
+    were queued before it. The bucket is charged with every request that runs and
+    refilled without delay.
     """
 
     limit: Organisation
@@ -53,7 +57,7 @@
     updated_at: float = 0.0
     waiting_tokens: dict[int, int] = field(factory=dict)
 
-    def has_tokens(self, now: float, tokens: int) -> bool:
+    def refill_and_check(self, now: float, tokens: int) -> bool:
         """Refill the bucket and return whether it holds ``tokens``."""
         refilled = self.level + (now - self.updated_at) * self.limit.rate
         self.level = min(float(self.limit.burst), refilled)
@@ -62,7 +66,7 @@
 
     def take_tokens(self, now: float, tokens: int) -> None:
         """Charge the tokens of a request that runs."""
-        self.has_tokens(now, tokens)
+        self.refill_and_check(now, tokens)
         self.level -= tokens
 
 
@@ -135,7 +139,7 @@
         now, organisation = self._loop.now, request.organisation
         tokens = request.pieces * 1024 + request.tail_tokens + request.output_tokens
         bucket = self._reference_buckets[organisation]
-        is_within_limit = bucket.has_tokens(
+        is_within_limit = bucket.refill_and_check(
             now, tokens + sum(bucket.waiting_tokens.values())
         )
         bucket.waiting_tokens[request.number] = tokens
--- a/berylnotch/cmd/commands/address.py
+++ b/berylnotch/cmd/commands/address.py
@@ -34,7 +34,7 @@
 def main(args: argparse.Namespace, session: Session) -> int:
     """Run the command."""
     query = {"organisation": args.organisation, "failure-domain": args.failure_domain}
-    answer = _ask_first(_routers(args.router, session), query)
+    answer = _ask_until_answered(_routers(args.router, session), query)
     addresses = answer["addresses"]
     if session.is_json:
         session.write_json(answer)
@@ -57,7 +57,7 @@
     return tuple(dict.fromkeys([*reported, *configured]))
 
 
-def _ask_first(routers: tuple[str, ...], query: dict[str, str]) -> dict:
+def _ask_until_answered(routers: tuple[str, ...], query: dict[str, str]) -> dict:
     failure = "no entry VM is known"
     for router in routers:
         try:
--- a/berylnotch/daemon/fleet/notes.py
+++ b/berylnotch/daemon/fleet/notes.py
@@ -16,10 +16,13 @@
 #: Burst size of the rate limit, in notes: the capacity of its token bucket.
 NOTES_BURST = 150.0
 
-#: Reserved shares of the burst. The first is for notes of prefixes that routers do not
-#: know to be cached. The second is a part of the first, for notes of finished prefills:
-#: a prefix stays cached after its prefill until it is evicted.
+#: Share of the burst that is reserved for notes of prefixes that routers do not know to
+#: be cached.
 NEW_NOTES_RESERVE = 0.5
+
+#: Part of `NEW_NOTES_RESERVE` that only notes of finished prefills may use, as a share
+#: of the burst. These notes have the highest priority, because a prefix stays cached
+#: after its prefill until it is evicted.
 READY_NOTES_RESERVE = 0.25
 
 
--- a/berylnotch/daemon/fleet/updates.py
+++ b/berylnotch/daemon/fleet/updates.py
@@ -16,9 +16,9 @@
 from berylnotch.quota.bounds import FLEET_QUOTA, HELD_SHARE, effective_limits
 from berylnotch.util.clock import boot_time
 
-#: Interval between two requests for tokens in advance per router of the fleet, in
-#: seconds. In a large fleet the interval grows with the number of routers, so that the
-#: quota owner receives at most about 250 of these requests a second, each with all
+#: Factor, in seconds, by which the number of routers in a large fleet is multiplied to
+#: get the interval between a router's requests for tokens in advance. The quota owner
+#: thus receives at most about 250 of these requests a second, each with all
 #: organisations. Requests for tokens that work already waits for are sent in addition.
 GRANT_REQUEST_PER_ROUTER_S = 0.004
 
@@ -29,7 +29,7 @@
 
 
 def apply_targets(context: EntryContext, update: TargetsUpdate) -> None:
-    """Apply targets, named weight versions and the list of stores that are down."""
+    """Apply targets, announced weight versions and the list of stores that are down."""
     now = boot_time()
     removed_ids = None if update.is_whole else update.gone
     for removed_id in context.targets.update(update.targets, removed_ids):
@@ -72,9 +72,9 @@
 
 
 def apply_prompt_notes(context: EntryContext, notes: Iterable[PromptNote]) -> None:
-    """Record which targets read, and which stores saved, prompts of other routers.
+    """Record which targets prefilled, and which stores saved, other routers' prompts.
 
-    Tokens that a target has yet to read are added to its load immediately. The next
+    Tokens that a target has yet to prefill are added to its load immediately. The next
     load sums replace them.
     """
     now = boot_time()
--- a/berylnotch/fleet/model.py
+++ b/berylnotch/fleet/model.py
@@ -9,7 +9,7 @@
 
 
 class ServiceKind(Enum):
-    """Kind of back end that a service's targets are."""
+    """Kind of a service's targets; plain ones are neither engines nor KV stores."""
 
     LANGUAGE = "language"
     PLAIN = "plain"
@@ -38,7 +38,7 @@
     models : tuple of str
         Model names that callers use; only for a language service.
     weights : str
-        Version of the weights to which the engines are brought; only for a language
+        Version of the weights that the engines are ordered to load; only for a language
         service.
     requires : tuple of str
         Services that this one depends on: while one of them cannot serve, requests are
@@ -59,8 +59,9 @@
 class Target:
     """A back end of a service.
 
-    ``checks_orders`` tells whether the target itself refuses orders with an outdated
-    fencing token. ``capacity`` is the number of requests that it runs concurrently.
+    ``checks_orders`` tells whether the target itself refuses an order to load weights
+    that has an outdated fencing token. ``capacity`` is the number of requests that the
+    target runs concurrently.
     """
 
     name: str
--- a/berylnotch/group/changes.py
+++ b/berylnotch/group/changes.py
@@ -121,16 +121,14 @@
 
 
 def _can_remove(view: GroupView, member: Member) -> bool:
-    """Tell whether a majority of the voters that remain without the member answers.
+    """Tell whether most of the voters left after the member's removal are answering.
 
     A learner can always be removed.
     """
     if member.role is Role.LEARNER:
         return True
     remaining = voter_ids(view.members) - {member.replica}
-    answering = {
-        r for r in remaining if view.silence_s.get(r, 0.0) < _MAX_ANSWERING_SILENCE_S
-    }
+    answering = {r for r in remaining if view.silence_s.get(r, 0.0) < _ANSWER_TIMEOUT_S}
     return len(answering) * 2 > len(remaining)
 
 
@@ -138,6 +136,6 @@
     return Members(tuple(m for m in members.members if m.replica != member.replica))
 
 
-#: Seconds without an answer below which a voter counts as answering. The value is the
-#: duration of one lease.
-_MAX_ANSWERING_SILENCE_S = 0.8
+#: Time since a voter's last answer below which the voter counts as answering, in
+#: seconds. The value is the duration of one lease.
+_ANSWER_TIMEOUT_S = 0.8
--- a/berylnotch/group/messages.py
+++ b/berylnotch/group/messages.py
@@ -155,7 +155,7 @@
 
 @frozen
 class RouterEntry:
-    """A router whose address callers may get."""
+    """A router whose address is given to callers that ask for entry VMs."""
 
     address: str
     failure_domain: str
@@ -216,7 +216,7 @@
 
 @frozen
 class CrashesUpdate:
-    """Losses of targets with the requests that they ran, as reported by routers."""
+    """Reports by routers of requests that ran on a target when it was lost."""
 
     crashes: tuple[CrashMark, ...]
 
--- a/berylnotch/membership/addresses.py
+++ b/berylnotch/membership/addresses.py
@@ -19,7 +19,7 @@
 
 @frozen
 class AddressAnswer:
-    """Addresses in order of preference, and how long a caller keeps them in seconds."""
+    """Addresses in order of preference; a caller keeps them for ``keep_s`` seconds."""
 
     addresses: tuple[str, ...]
     keep_s: int
@@ -30,7 +30,7 @@
     organisation: str,
     failure_domain: str,
     settings: MembershipSettings,
-    turn: int = 0,
+    earlier_answers: int = 0,
 ) -> AddressAnswer:
     """Choose the VMs for a caller.
 
@@ -50,7 +50,7 @@
         Failure domain of the caller; empty if not known.
     settings : MembershipSettings
         Settings with the number of addresses in an answer.
-    turn : int, default=0
+    earlier_answers : int, default=0
         Number of earlier answers of this router. It rotates the addresses, so that the
         callers of a large organisation spread over all its VMs.
     """
@@ -60,7 +60,7 @@
     vms.sort(key=lambda vm: (weight(key, name_hash(vm.name)), vm.name))
     count = _count_vms(view.fleet, organisation, len(vms), settings)
     candidates = _interleave_failure_domains(vms)[:count]
-    offset = turn % count if count > settings.answer_vms else 0
+    offset = earlier_answers % count if count > settings.answer_vms else 0
     chosen = (candidates[offset:] + candidates[:offset])[: settings.answer_vms]
     chosen.sort(key=lambda vm: vm.failure_domain != failure_domain)
     return AddressAnswer(
--- a/berylnotch/membership/crashes.py
+++ b/berylnotch/membership/crashes.py
@@ -26,8 +26,8 @@
 
 def fingerprint(organisation: str, body: bytes) -> bytes:
     """Return a cryptographic fingerprint of a request's organisation and body."""
-    # Imported here, because fleet processes do not use this function and the library
-    # takes 3.5 MB of memory in each process.
+    # Imported here, because the processes of `berylnotch.daemon.fleet` do not use this
+    # function and the library takes 3.5 MB of memory in each process.
     import hashlib
 
     digest = hashlib.sha256(organisation.encode() + b"\0")
@@ -48,7 +48,7 @@
 
 @frozen
 class Verdict:
-    """Conclusions from the loss of a target about the requests that it ran.
+    """Requests to report and to refuse after the loss of the target that ran them.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
 
 @define
 class _Suspicion:
-    """Targets that were lost while they ran a request.
+    """Suspicion that a request crashes targets, with the lost targets that ran it.
 
     Parameters
     ----------
@@ -86,7 +86,7 @@
 
     Every request that ran on a lost target becomes a suspect. If a second target is
     lost and a single suspect ran on it, that request is blamed. If several suspects
-    ran on it, the loss is ambiguous and blames none of them. `targets_to_avoid` then
+    ran on it, the loss is ambiguous and none of them is blamed. `targets_to_avoid` then
     keeps the suspects on different targets, so that the next loss identifies the cause.
     A request that runs to its end is cleared.
 
@@ -181,8 +181,8 @@
 
         The result is empty if the request is not a suspect itself. If no other target
         is available, the request should run on one of these rather than fail. The
-        request may be harmless, and the loss of a target with several suspects blames
-        none of them.
+        request may be harmless, and if a target with several suspects is lost, none of
+        them is blamed.
         """
         if not self._is_suspect(now, request):
             return frozenset()
@@ -276,7 +276,7 @@
         return suspicion
 
     def _add_suspicion(self, now: float, request: bytes) -> _Suspicion:
-        """Create or renew the suspicion of a request, and revoke its clearance."""
+        """Create or renew the suspicion of a request; it is no longer cleared."""
         suspicion = self._find_suspicion(now, request) or _Suspicion(now)
         suspicion.updated_at = now
         self._suspicions[request] = suspicion
--- a/berylnotch/orders/rolling.py
+++ b/berylnotch/orders/rolling.py
@@ -26,9 +26,9 @@
 #: engine's slots. The larger number applies.
 FULL_REQUESTS, FULL_SLOTS_FRACTION = 14.0, 0.5
 
-#: Fraction of the time for which operators allow superseded weights. When it has
-#: passed, engines load regardless of the service's in-flight requests; the rest of the
-#: allowed time is left for the loads.
+#: Fraction of the setting ``weights_s``, the time limit for superseded weights, after
+#: which engines load regardless of the service's in-flight requests. The rest of the
+#: limit is left for the loads.
 URGENT_SHARE = 0.4
 
 
--- a/berylnotch/quota/holding.py
+++ b/berylnotch/quota/holding.py
@@ -48,13 +48,12 @@
     is_answered : bool, default=True
         Whether the newest request that includes this organisation was answered.
     want, first_want : int, default=0
-        Tokens that all waiting work needs, and tokens that the first item of the
-        waiting work needs.
+        Tokens needed by all waiting work, and tokens needed by the first item of it.
     priority : int, default=0
         Priority from the owner, 0 (best) to 9.
     retry_at : float, default=-inf
         Monotonic time at which refused work may be retried.
-    asked_first_want : int, default=0
+    reported_first_want : int, default=0
         ``first_want`` in the newest request that includes this organisation.
     is_queued_at_owner : bool, default=False
         Whether the owner reserves tokens for work that waits at this router,
@@ -76,7 +75,7 @@
     first_want: int = 0
     priority: int = BEST_PRIORITY
     retry_at: float = -math.inf
-    asked_first_want: int = 0
+    reported_first_want: int = 0
     is_queued_at_owner: bool = False
     min_held: int = 0
 
@@ -109,7 +108,7 @@
         self.tokens = min(held, target_tokens)
         self.reported_spent = self.spent
         self.asked_at = now
-        self.asked_first_want = self.first_want
+        self.reported_first_want = self.first_want
         self.is_answered = False
         waiting_tokens = max(0, self.first_want - self.tokens)
         return QuotaAsk(
@@ -129,7 +128,7 @@
         self.is_answered = True
         is_refused = grant.retry_after_ms > 0 and self.settings.refused_leave
         self.is_queued_at_owner = (
-            grant.tokens < self.asked_first_want and not is_refused
+            grant.tokens < self.reported_first_want and not is_refused
         )
         self.priority = grant.priority
         self.retry_at = -math.inf
--- a/berylnotch/quota/owner.py
+++ b/berylnotch/quota/owner.py
@@ -106,9 +106,9 @@
         -------
         reply : GrantReply
             One grant for each ask. The reply has no grants if the request is
-            repeated or was overtaken, because the router discards that reply. The
-            reply also has no grants until `steady_from`, so that routers keep the
-            tokens of the previous owner until these expire.
+            repeated or arrives after a newer one of the same router, because the router
+            discards that reply. The reply also has no grants until `steady_from`, so
+            that routers keep the tokens of the previous owner until these expire.
         """
         self._now = max(self._now, now)
         router = f"{request.vm}/{request.incarnation}"
--- a/berylnotch/server/engine.py
+++ b/berylnotch/server/engine.py
@@ -36,7 +36,7 @@
     from berylnotch.server.context import Context
     from berylnotch.server.job import Job
 
-#: Interval, in seconds, between checks of freshness, deadlines and queues.
+#: Interval, in seconds, between checks of the view's freshness, deadlines and queues.
 _TICK_S = 0.05
 
 
@@ -62,7 +62,7 @@
             self._selector,
             self._claim_client,
             self._on_job_ended,
-            self._check_freshness,
+            self._check_view_freshness,
         )
         self._delivery = Delivery(
             context,
@@ -74,7 +74,7 @@
         self._admission = AdmissionQueues(
             context, self._selector, self._demand, self._start_or_claim, self._refuse
         )
-        self._was_fresh = False
+        self._was_view_fresh = False
         self._closing_jobs: set[Job] = set()
 
     @property
@@ -83,7 +83,7 @@
         return len(self._context.jobs) + len(self._closing_jobs)
 
     def start(self) -> None:
-        """Start the periodic checks of freshness, deadlines and queues."""
+        """Start the periodic checks of the view's freshness, deadlines and queues."""
         self._context.loop.call_every(_TICK_S, self._tick)
 
     def submit(self, job: Job, sock: socket.socket) -> None:
@@ -96,11 +96,11 @@
         self._admission.dispatch_all()
 
     def on_view_change(self) -> None:
-        """End the requests whose keys were withdrawn, and check freshness."""
+        """End the requests whose keys were withdrawn; check the view's freshness."""
         for job in tuple(self._context.jobs):
             if job.key_hash and self._context.view.find_key(job.key_hash) is None:
                 self._on_key_withdrawn(job)
-        self._check_freshness()
+        self._check_view_freshness()
 
     def _accept(self, job: Job, sock: socket.socket) -> None:
         job.caller = CallerConnection(
@@ -153,7 +153,8 @@
         return None
 
     def _start_or_claim(self, job: Job) -> None:
-        # While the job was queued, the key may have been withdrawn or freshness lost.
+        # While the job was queued, its key may have been withdrawn or the view may have
+        # become stale.
         if job.key_hash:
             refusal = self._check_key(job, time.monotonic())
             if refusal is not None:
@@ -174,7 +175,8 @@
     def _start_claimed(self, job: Job) -> None:
         refusal = self._check_key(job, time.monotonic()) if job.key_hash else None
         if refusal is not None:
-            # The key was withdrawn, or freshness lost, before the claim was committed.
+            # The key was withdrawn, or the view became stale, before the claim was
+            # committed.
             self._claim_client.close_unfinished(job, ClaimState.NOT_RUN)
             self._refuse(job, refusal)
             return
@@ -207,11 +209,11 @@
             return request
         return evolve(
             request,
-            sign_base=lambda weights: self._sign_base(job, weights),
+            sign_base=lambda weights: self._sign_stream_base(job, weights),
             is_whole=is_whole_answer,
         )
 
-    def _sign_base(self, job: Job, weights: str) -> str:
+    def _sign_stream_base(self, job: Job, weights: str) -> str:
         position = StreamPosition(
             stream=secrets.token_bytes(STREAM_ID_BYTES),
             organisation=job.organisation_name,
@@ -270,18 +272,18 @@
         self._context.loop.call_soon(lambda: self._admission.dispatch(job.service.name))
 
     def _tick(self) -> None:
-        self._check_freshness()
+        self._check_view_freshness()
         self._closing_jobs = {
             job for job in self._closing_jobs if not job.caller.is_closed
         }
         self._admission.refuse_expired()
         self._admission.dispatch_all()
 
-    def _check_freshness(self) -> None:
+    def _check_view_freshness(self) -> None:
         is_fresh = self._context.freshness.is_fresh(time.monotonic())
-        if is_fresh == self._was_fresh:
+        if is_fresh == self._was_view_fresh:
             return
-        self._was_fresh = is_fresh
+        self._was_view_fresh = is_fresh
         logger.info("event=freshness_changed fresh={}", is_fresh)
         for job in tuple(self._context.jobs):
             if not job.key_hash:
--- a/berylnotch/settings/base.py
+++ b/berylnotch/settings/base.py
@@ -52,7 +52,7 @@
 
 @frozen
 class ControllerAddress:
-    """Name and address of an entry in an address section."""
+    """Name and address of a controller or router in an address section."""
 
     name: str
     address: str
@@ -60,7 +60,7 @@
 
 @frozen
 class ProcessFile:
-    """Checked values of a settings file."""
+    """Checked values and addresses of a process's settings file."""
 
     values: dict[str, Any]
     controllers: tuple[ControllerAddress, ...]
@@ -100,8 +100,8 @@
         If the file cannot be read or has errors. All errors are listed, each with its
         line and the allowed values.
     """
-    sections, found = read_sections(read(file))
-    problems = list(found)
+    sections, section_problems = read_sections(read(file))
+    problems = list(section_problems)
     reader = _SettingsReader(table, problems)
     for section in sections:
         reader.read_section(section)
@@ -178,11 +178,11 @@
         for name, entry in section.entries.items():
             try:
                 address = values.address(entry.value)
-                found = ControllerAddress(values.name(name), address)
+                named_address = ControllerAddress(values.name(name), address)
             except ValueError as error:
                 self._add_problem(entry.line, f"{name}: {error}; allowed: IP:port")
                 continue
-            self._addresses[section.kind].append(found)
+            self._addresses[section.kind].append(named_address)
 
     def _add_problem(self, line: int, message: str) -> None:
         self._problems.append(Problem(line, message))
--- a/spec/replication.py
+++ b/spec/replication.py
@@ -47,7 +47,7 @@
 
 
 class Mutation(Enum):
-    """Rule that is omitted on purpose; each must give a counterexample."""
+    """Rule that the model omits, if any; every omission must give a counterexample."""
 
     NONE = "none"
     VOTE_NOT_DURABLE = "a crash loses the vote"
@@ -181,14 +181,14 @@
 
 
 class Replication:
-    """Rules of the protocol within bounds, of which a mutation omits one."""
+    """Rules of the protocol within bounds; a mutation omits one of the rules."""
 
     def __init__(self, bounds: Bounds, mutation: Mutation = Mutation.NONE) -> None:
         self._bounds = bounds
         self._mutation = mutation
 
     def protocol(self) -> Protocol:
-        """Return the model in the form of the checker."""
+        """Return the model as a protocol that `minicheck` can check."""
         return Protocol(
             name=f"replication ({self._mutation.value})",
             candidate=False,
--- a/spec/resumption.py
+++ b/spec/resumption.py
@@ -1,4 +1,4 @@
-"""Model of leader leases, restarts, and resumption by a former leader without a wait.
+"""Model of leader leases, restarts, and immediate re-election of a former leader.
 
 The model has no clock. A lease is valid as long as the answers of a majority to the
 leader are valid; a step expires the answers of one replica at a time. A replica that
@@ -12,14 +12,14 @@
     expired.
 
 Resume
-    A replica that does not lead asks which voters support it in its own term: those
-    that voted for it or followed it, and followed no other replica. With the support
-    of a majority it requests votes in the next term, and voters do not wait for a lease
-    to expire.
+    A replica that does not lead asks the voters for their support in its own term. A
+    voter supports the replica that it followed or, if it followed none, the replica
+    that it voted for. With the support of a majority, the replica requests votes in the
+    next term, and voters do not wait for a lease to expire.
 
 Members
-    A leader may remove a voter. The group shrinks for each replica that learns of the
-    removal, which it does by following the leader.
+    A leader may remove a voter. Another replica learns of the removal when it follows
+    the leader, and counts majorities without the removed voter from then on.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Mutation(Enum):
-    """Rule that is omitted on purpose; each must give a counterexample."""
+    """Rule that the model omits, if any; every omission must give a counterexample."""
 
     NONE = "none"
     NO_WAIT = "a voter votes although its answer to a leader counts"
@@ -94,14 +94,14 @@
 
 
 class Resumption:
-    """Rules of the protocol within bounds, of which a mutation omits one."""
+    """Rules of the protocol within bounds; a mutation omits one of the rules."""
 
     def __init__(self, bounds: Bounds, mutation: Mutation = Mutation.NONE) -> None:
         self._bounds = bounds
         self._mutation = mutation
 
     def protocol(self) -> Protocol:
-        """Return the model in the form of the checker."""
+        """Return the model as a protocol that `minicheck` can check."""
         return Protocol(
             name=f"resumption ({self._mutation.value})",
             candidate=False,
@@ -109,7 +109,7 @@
             initial=self._initial(),
             transitions=lambda state: list(self.steps(state)),
             invariants={
-                "one lease": lambda s: len(leases(State(*s.values()))) <= 1,
+                "one lease": lambda s: len(lease_holders(State(*s.values()))) <= 1,
             },
         )
 
@@ -299,7 +299,7 @@
         yield f"{name} restarts", next_state._replace(restarts=state.restarts + 1)
 
 
-def leases(state: State) -> list[str]:
+def lease_holders(state: State) -> list[str]:
     """Return the leaders whose lease is valid."""
     return [
         name
--- a/tests/test_spec/test_resumption.py
+++ b/tests/test_spec/test_resumption.py
@@ -5,7 +5,7 @@
 import pytest
 
 from spec.checking import counterexample, holds, replay
-from spec.resumption import Bounds, Mutation, Resumption, leases
+from spec.resumption import Bounds, Mutation, Resumption, lease_holders
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
 def test_followed_leader_must_be_durable():
     states = replay_stale_candidate(Mutation.FOLLOWED_NOT_SAVED)
     assert len(states) == len(STALE_CANDIDATE_TRACE) + 1
-    assert [len(leases(state)) for state in states[-3:]] == [1, 1, 2]
+    assert [len(lease_holders(state)) for state in states[-3:]] == [1, 1, 2]
     states_without_fault = replay_stale_candidate(Mutation.NONE)
     assert (
         STALE_CANDIDATE_TRACE[len(states_without_fault) - 1] == "a supports b in term 2"
@@ -95,4 +95,4 @@
     )
     states = replay(Resumption(Bounds()).protocol(), labels)
     assert len(states) == len(labels) + 1
-    assert leases(states[-1]) == ["a"]
+    assert lease_holders(states[-1]) == ["a"]
