--- a/berylnotch/daemon/fleet/weights.py
+++ b/berylnotch/daemon/fleet/weights.py
@@ -1,4 +1,4 @@
-"""Rollout of named weights to the engines, by fenced orders of the leader."""
+"""Rollout of announced weights to the engines, by fenced orders of the leader."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     inventory : TargetInventory
         All targets.
     announced_weights : AnnouncedWeights
-        Named versions and the times at which they were named.
+        Announced versions and the times at which they were announced.
     order_lease : OrderLease
         Lease for sending orders, held by one controller at a time.
     is_active : callable
--- a/berylnotch/server/runner.py
+++ b/berylnotch/server/runner.py
@@ -223,7 +223,7 @@
         now = time.monotonic()
         self._context.health.first_token(attempt.dispatch)
         # After a suspension of the process, data may be read before the timer that
-        # checks freshness runs.
+        # checks the view's freshness runs.
         self._check_freshness()
         self.perform(job, job.exchange.body(now, attempt.number, data))
         if job.caller.is_full:
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -23,7 +23,7 @@
 
 
 class Mutation(Enum):
-    """Seeded protocol fault; each must give a counterexample."""
+    """Seeded protocol fault, if any; every fault must give a counterexample."""
 
     NONE = "none"
     SENT_BEFORE_COMMIT = "sent before the claim was committed"
--- a/spec/fencing.py
+++ b/spec/fencing.py
@@ -24,7 +24,7 @@
 
 
 class Mutation(Enum):
-    """Seeded protocol fault; each must give a counterexample."""
+    """Seeded protocol fault, if any; every fault must give a counterexample."""
 
     NONE = "none"
     LEASE_CHECKED_TOO_EARLY = "lease checked before the blocking connect"
--- a/spec/grants.py
+++ b/spec/grants.py
@@ -34,7 +34,7 @@
 
 
 class Mutation(Enum):
-    """Seeded protocol fault; each must give a counterexample."""
+    """Seeded protocol fault, if any; every fault must give a counterexample."""
 
     NONE = "none"
     LIFETIME_NOT_WAITED = "new owner does not wait out older grants"
