--- a/benchmarks/choosers.py
+++ b/benchmarks/choosers.py
@@ -42,7 +42,7 @@
     weights: str
     work_s: float
     import_from: str = ""
-    import_pieces: int = 0
+    import_blocks: int = 0
 
 
 Chooser = Callable[[Question], Choice | None]
@@ -147,14 +147,14 @@
         if not ranked:
             return None
         best = ranked[0]
-        placer.sent(question.now, placement_request, best)
-        work_ms = (prompt.pieces - best.cached_pieces) * settings.recompute_ms
+        placer.record_sent(question.now, placement_request, best)
+        work_ms = (prompt.pieces - best.cached_blocks) * settings.recompute_ms
         return Choice(
             best.name,
             best.weights,
             work_ms / 1000.0,
             best.import_from,
-            best.import_pieces,
+            best.import_blocks,
         )
 
     return choose
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -30,7 +30,7 @@
 from berylnotch.control.view import View
 from berylnotch.errors import TransportError
 from berylnotch.standins.fleet import LocalFleet
-from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
+from berylnotch.standins.texts import DOMAINS, SmallFleet, small_fleet_text
 from berylnotch.transport.codec import encode
 from berylnotch.transport.identity import VM_PREFIX, identity_key
 from berylnotch.transport.peers import Peers
@@ -273,7 +273,7 @@
 
 def _fleet_text(number: int) -> str:
     vms = (("entry-1", "127.0.0.1:8001"),)
-    return small_text(SmallFleet(vms, (), (), rate=1000 + number % 7))
+    return small_fleet_text(SmallFleet(vms, (), (), rate=1000 + number % 7))
 
 
 if __name__ == "__main__":
--- a/benchmarks/decision_time.py
+++ b/benchmarks/decision_time.py
@@ -68,7 +68,9 @@
         best = ranked[0]
         _measure_step(
             steps["note"],
-            lambda now=now, request=request, best=best: placer.sent(now, request, best),
+            lambda now=now, request=request, best=best: placer.record_sent(
+                now, request, best
+            ),
         )
         event = CacheEvent(best.name, "1", number + 1, prompt.chain("v1"))
         placer.cache_event(now, event)
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -25,7 +25,7 @@
     ``cached`` counts the pieces of its prompt that were cached when the prefill
     started. ``wasted`` counts the computed pieces that some engine had computed
     before. ``remaining_prefill_s`` is the remaining time of a started prefill in
-    seconds, and None before its start. The leading ``import_pieces`` pieces may be
+    seconds, and None before its start. The leading ``import_blocks`` pieces may be
     imported from another engine; ``imported`` counts those that are.
     """
 
@@ -37,7 +37,7 @@
     on_done: Callable[[Job], None]
     on_fail: Callable[[Job], None]
     import_from: Engine | None = None
-    import_pieces: int = 0
+    import_blocks: int = 0
     cached: int = 0
     imported: int = 0
     wasted: int = 0
@@ -106,7 +106,7 @@
         heapq.heappush(self._queue, (job.priority, next(self._arrival_numbers), job))
         self._start_next_chunk()
 
-    def cached_pieces(self, chain: tuple[bytes, ...]) -> int:
+    def cached_blocks(self, chain: tuple[bytes, ...]) -> int:
         """Return the number of leading pieces that are cached."""
         for index, prefix in enumerate(chain):
             if prefix not in self._cache:
@@ -222,7 +222,7 @@
 
     def _start_prefill(self, job: Job) -> None:
         self._running[job] = None
-        job.cached = self.cached_pieces(job.chain)
+        job.cached = self.cached_blocks(job.chain)
         self._mark_used(job.chain[: job.cached])
         self._pin_counts.update(job.chain)
         job.imported = self._count_importable(job)
@@ -236,7 +236,7 @@
         """Return the number of pieces cached at the source and not at this engine."""
         if job.import_from is None or not job.import_from.alive:
             return 0
-        importable = job.import_from.cached_pieces(job.chain[: job.import_pieces])
+        importable = job.import_from.cached_blocks(job.chain[: job.import_blocks])
         return max(0, importable - job.cached)
 
     def _finish_chunk(self, entry: tuple[int, int, Job], chunk_s: float) -> None:
--- a/benchmarks/fleet_control.py
+++ b/benchmarks/fleet_control.py
@@ -14,9 +14,9 @@
 from attrs import frozen
 
 from berylnotch.daemon.fleet.leader import (
-    LOADS_PER_ROUTER_S,
-    MAX_LOADS_S,
-    MIN_LOADS_S,
+    LOADS_INTERVAL_PER_ROUTER_S,
+    MAX_LOADS_INTERVAL_S,
+    MIN_LOADS_INTERVAL_S,
     MIN_PROMPTS_S,
     PROMPTS_PER_ROUTER_S,
 )
@@ -76,7 +76,10 @@
 
 def _format_costs(routers: int, targets: int) -> str:
     report_interval_s = max(REPORT_S, REPORT_PER_ROUTER_S * routers)
-    loads_interval_s = min(MAX_LOADS_S, max(MIN_LOADS_S, LOADS_PER_ROUTER_S * routers))
+    loads_interval_s = min(
+        MAX_LOADS_INTERVAL_S,
+        max(MIN_LOADS_INTERVAL_S, LOADS_INTERVAL_PER_ROUTER_S * routers),
+    )
     notes_interval_s = max(MIN_PROMPTS_S, PROMPTS_PER_ROUTER_S * routers)
     notes_per_s = 2 * LONG_PROMPTS_PER_TARGET_S * targets
     relayed_notes_per_s = min(notes_per_s, NOTES_PER_S)
--- a/benchmarks/router_cost.py
+++ b/benchmarks/router_cost.py
@@ -23,7 +23,7 @@
 from berylnotch.control.commands import Status
 from berylnotch.standins.caller import CallerClient
 from berylnotch.standins.fleet import ConditionError, LocalFleet, wait_for
-from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
+from berylnotch.standins.texts import DOMAINS, SmallFleet, small_fleet_text
 
 _ENGINE = ("--slots", "500", "--first-ms", "20", "--piece-ms", "1")
 _RATE = 200_000
@@ -96,7 +96,7 @@
     small_fleet = SmallFleet(
         routers, engines, plain, rate=_RATE, burst=_BURST, timeout="120 s"
     )
-    text = small_text(small_fleet)
+    text = small_fleet_text(small_fleet)
     for name, _address in engines:
         section = f"[target {name}]\n"
         text = text.replace(section, f"{section}capacity = {_CAPACITY} requests\n")
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -185,7 +185,7 @@
             self.loop.after(0.1, lambda: self._place(attempt))
             return
         attempt.choice = choice
-        attempt.dispatch = router.health.begin(now, choice.target, choice.work_s)
+        attempt.dispatch = router.health.record_sent(now, choice.target, choice.work_s)
         self.loop.after(self._one_way_s(router, choice), lambda: self._submit(attempt))
 
     def _submit(self, attempt: Attempt) -> None:
@@ -200,7 +200,7 @@
             output_tokens=request.output_tokens,
             priority=self._priority(attempt),
             import_from=self.engines.get(attempt.choice.import_from),
-            import_pieces=attempt.choice.import_pieces,
+            import_blocks=attempt.choice.import_blocks,
             on_first=lambda job: self._on_first_token(attempt, job),
             on_done=lambda job: self._on_done(attempt),
             on_fail=lambda job: self._on_failed(attempt),
@@ -224,11 +224,11 @@
         self.figures.first_token(attempt.request.organisation, ttft_s, DEADLINE_S)
 
     def _on_done(self, attempt: Attempt) -> None:
-        attempt.router.health.finish(self.loop.now, attempt.dispatch, True)
+        attempt.router.health.record_end(self.loop.now, attempt.dispatch, True)
 
     def _on_failed(self, attempt: Attempt) -> None:
         def retry() -> None:
-            attempt.router.health.finish(self.loop.now, attempt.dispatch, False)
+            attempt.router.health.record_end(self.loop.now, attempt.dispatch, False)
             attempt.tried_targets |= {attempt.choice.target}
             self._place(attempt)
 
--- a/berylnotch/admission/queue.py
+++ b/berylnotch/admission/queue.py
@@ -18,7 +18,7 @@
     from berylnotch.admission.ticket import Ticket
 
 #: Priority at which an organisation's weight equals its share.
-EVEN_PRIORITY = 4
+NEUTRAL_PRIORITY = 4
 
 #: Number of priority steps that halve the weight of an organisation.
 STEPS_PER_HALVING = 2
@@ -274,5 +274,5 @@
 
 
 def _weight(ticket: Ticket) -> float:
-    steps = ticket.priority - EVEN_PRIORITY
+    steps = ticket.priority - NEUTRAL_PRIORITY
     return ticket.share * 2 ** (-steps / STEPS_PER_HALVING)
--- a/berylnotch/admission/retry.py
+++ b/berylnotch/admission/retry.py
@@ -7,7 +7,7 @@
 from attrs import field, frozen
 from attrs.validators import ge, gt
 
-from berylnotch.streams.actions import RunMark
+from berylnotch.streams.actions import RunStatus
 
 
 class RetryDecision(Enum):
@@ -53,7 +53,7 @@
         1 for the first attempt.
     is_idempotent : bool
         Whether the request may run more than once.
-    mark : RunMark
+    run_status : RunStatus
         Whether the target ran the request.
     deadline : float
         Monotonic time after which the caller no longer needs the answer.
@@ -63,7 +63,7 @@
 
     number: int
     is_idempotent: bool
-    mark: RunMark
+    run_status: RunStatus
     deadline: float
     expected_s: float = 0.0
 
@@ -118,9 +118,9 @@
     request. The calling code takes the retry from the budget after a
     `RetryDecision.RETRY`.
     """
-    if attempt.mark is RunMark.RAN:
+    if attempt.run_status is RunStatus.RAN:
         return RetryDecision.ALREADY_RAN
-    if attempt.mark is RunMark.UNKNOWN and not attempt.is_idempotent:
+    if attempt.run_status is RunStatus.UNKNOWN and not attempt.is_idempotent:
         return RetryDecision.NOT_IDEMPOTENT
     if attempt.number >= settings.max_attempts:
         return RetryDecision.TOO_MANY_ATTEMPTS
--- a/berylnotch/daemon/controller/leader.py
+++ b/berylnotch/daemon/controller/leader.py
@@ -79,7 +79,7 @@
         self._term_state: _TermState | None = None
 
     @property
-    def owner(self) -> QuotaOwner | None:
+    def quota_owner(self) -> QuotaOwner | None:
         """Quota owner of the current term, None if this controller does not lead."""
         return self._term_state.quota_owner if self._term_state else None
 
--- a/berylnotch/daemon/controller/ordering.py
+++ b/berylnotch/daemon/controller/ordering.py
@@ -11,7 +11,7 @@
 
 from berylnotch.control.commands import FinishOrder
 from berylnotch.gateways.engine import EngineAddress
-from berylnotch.gateways.errors import OldFenceError
+from berylnotch.gateways.errors import StaleFencingTokenError
 from berylnotch.gateways.orders import build_load_order, read_order_answer
 from berylnotch.orders.scheduler import Leadership, may_send, next_orders
 
@@ -179,7 +179,7 @@
         answer: OrderAnswer | None,
         error: GatewayError | None,
     ) -> None:
-        if isinstance(error, OldFenceError):
+        if isinstance(error, StaleFencingTokenError):
             self._finish(order, False, str(error))
         elif error is not None:
             logger.warning(
--- a/berylnotch/daemon/controller/reads.py
+++ b/berylnotch/daemon/controller/reads.py
@@ -146,7 +146,7 @@
 def _organisation_line(
     core: Core, now: float, organisation: Organisation
 ) -> OrganisationLine:
-    owner, name = core.leader.owner, organisation.name
+    owner, name = core.leader.quota_owner, organisation.name
     return OrganisationLine(
         name,
         organisation.rate,
--- a/berylnotch/daemon/fleet/follower.py
+++ b/berylnotch/daemon/fleet/follower.py
@@ -86,7 +86,7 @@
         return self._has_leader and self._link is not None
 
     @property
-    def heard_s(self) -> float | None:
+    def leader_silence_s(self) -> float | None:
         """Seconds since the leader's last message, None without a leader."""
         if self._link is None or not self._has_leader:
             return None
--- a/berylnotch/daemon/fleet/leader.py
+++ b/berylnotch/daemon/fleet/leader.py
@@ -43,7 +43,7 @@
 #: Seconds between two updates with the sums of the routers' loads, multiplied by the
 #: number of routers, so that control messages stay within their share of a link's
 #: bandwidth in large fleets.
-LOADS_PER_ROUTER_S = 0.002
+LOADS_INTERVAL_PER_ROUTER_S = 0.002
 
 #: Seconds for which changes of targets are collected into one message; a small part of
 #: the time limit within which routers must receive them.
@@ -63,7 +63,7 @@
 MIN_PROMPTS_S = 0.01
 
 #: Shortest and longest interval between two updates of the load sums, in seconds.
-MIN_LOADS_S, MAX_LOADS_S = 0.1, 0.5
+MIN_LOADS_INTERVAL_S, MAX_LOADS_INTERVAL_S = 0.1, 0.5
 
 
 class Leader:
@@ -182,7 +182,7 @@
         if self._target_list_reader is not None:
             self._target_list_reader.start()
         self._loop.call_later(ROSTER_DELAY_S, self._complete_roster)
-        self._loop.call_later(MIN_LOADS_S, self._push_loads)
+        self._loop.call_later(MIN_LOADS_INTERVAL_S, self._push_loads)
 
     def close(self) -> None:
         """Stop the services of the leader."""
@@ -310,8 +310,8 @@
     def _push_loads(self) -> None:
         if self._is_closed:
             return
-        interval_s = LOADS_PER_ROUTER_S * self.registry.count
-        interval_s = min(MAX_LOADS_S, max(MIN_LOADS_S, interval_s))
+        interval_s = LOADS_INTERVAL_PER_ROUTER_S * self.registry.count
+        interval_s = min(MAX_LOADS_INTERVAL_S, max(MIN_LOADS_INTERVAL_S, interval_s))
         self._loop.call_later(interval_s, self._push_loads)
         self.registry.push_loads()
         self._rollout.advance()
--- a/berylnotch/daemon/fleet/order_lease.py
+++ b/berylnotch/daemon/fleet/order_lease.py
@@ -81,7 +81,7 @@
         """Send no further orders; the lease is not released, so a new leader waits."""
         self._is_closed = True
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Acquire the order lease as soon as no earlier order can be running."""
         if self._is_held or self._is_requested or self._is_closed:
             return
--- a/berylnotch/daemon/fleet/router.py
+++ b/berylnotch/daemon/fleet/router.py
@@ -219,7 +219,7 @@
             if (
                 has_drained
                 and is_quiet
-                and self._caller_server.busy_count == 0
+                and self._caller_server.active_connection_count == 0
                 or now >= exit_at
             ):
                 self._log.info("drained", requests=len(self._exchanges))
@@ -409,7 +409,9 @@
         metrics.gauge("berylnotch_configuration_version", float(version))
         metrics.gauge("berylnotch_ready", float(self.is_ready))
         metrics.gauge("berylnotch_has_leader", float(self._leader_link.has_leader))
-        metrics.gauge("berylnotch_leader_heard_seconds", self._leader_link.heard_s)
+        metrics.gauge(
+            "berylnotch_leader_heard_seconds", self._leader_link.leader_silence_s
+        )
         metrics.gauge("berylnotch_requests_under_way", float(len(self._exchanges)))
         metrics.gauge("berylnotch_log_lines_dropped", float(self._log.dropped))
         targets_age_s = boot_time() - (self._targets_received_at or self._started_at)
--- a/berylnotch/daemon/fleet/weights.py
+++ b/berylnotch/daemon/fleet/weights.py
@@ -220,7 +220,7 @@
             self._urgent_after_s,
         )
         if loads and not self._order_lease.is_held:
-            self._order_lease.ask()
+            self._order_lease.request()
             return
         for planned in loads:
             target = self._inventory.target(planned.target_id)
--- a/berylnotch/daemon/router/router.py
+++ b/berylnotch/daemon/router/router.py
@@ -199,13 +199,13 @@
             freshness=self._freshness,
             quota=self._quota,
             health=TargetHealth(settings.membership),
-            guard=CrashGuard(settings.membership),
+            crash_guard=CrashGuard(settings.membership),
             placer=Placer(settings.placement),
             upstreams=Upstreams(self._loop),
             proposer=proposer,
             metrics=self._metrics,
             incarnation=self._incarnation,
-            hurry=self._heartbeat.send_soon,
+            send_heartbeat_soon=self._heartbeat.send_soon,
         )
 
     def _start_server(self, address: str, app: Any, max_body_bytes: int) -> HttpServer:
--- a/berylnotch/entry/attempt.py
+++ b/berylnotch/entry/attempt.py
@@ -9,7 +9,7 @@
 from berylnotch.entry.failover import PendingAnswer, failover_at
 from berylnotch.entry.judging import forwarded_headers, is_encoded, response_problem
 from berylnotch.entry.migration import RunMigration, StoppedRun
-from berylnotch.entry.reading import PromptReading
+from berylnotch.entry.reading import PromptTracker
 from berylnotch.entry.results import AttemptEnd, AttemptOwner, AttemptResult
 from berylnotch.net.client import (
     ClientConnection,
@@ -78,7 +78,7 @@
     ) -> None:
         self._context = context
         self._target = choice.target
-        self._reading = PromptReading(context, choice, routed, target_headers)
+        self._reading = PromptTracker(context, choice, routed, target_headers)
         self._is_long = routed.caller.chain.has_affinity
         self._expected_s = choice.delay_ms / 1000
         self._routed = routed
@@ -110,7 +110,7 @@
         """Send the request."""
         target, route = self._target, self._routed.route
         request = encode_for_target(self._routed.request, self._target_headers)
-        self._connection = self._context.targets.connect(target, route.is_repeatable)
+        self._connection = self._context.targets.connect(target, route.is_retryable)
         target.in_flight += 1
         target.long_in_flight += self._is_long
         self._reading.begin()
@@ -152,7 +152,7 @@
 
     def _check_overdue(self) -> None:
         """End the attempt of a repeatable request if its response is overdue."""
-        if self._has_ended or not self._routed.route.is_repeatable:
+        if self._has_ended or not self._routed.route.is_retryable:
             return
         if self._migration is not None:
             self._context.loop.call_later(MIGRATION_RETRY_S, self._check_overdue)
@@ -225,7 +225,7 @@
         if not decode_answer(200, self._head.headers).stamp:
             self._abort("stream has no server stamp")
             return
-        self._reading.done(self._sent_at)
+        self._reading.on_processed(self._sent_at)
         for event in self._splitter.feed(data):
             if event.is_progress:
                 # Incomplete events and comments do not show progress of the run.
@@ -246,7 +246,7 @@
         if self._migration is not None and not self._head.is_delimited:
             # The connection closes at the end of the run and also if the run is stopped
             # for the migration.
-            self._migration.hold(self.on_complete)
+            self._migration.defer_stream_end(self.on_complete)
             return
         answer = decode_answer(self._head.status, self._head.headers)
         target, status = self._target, self._head.status
@@ -292,7 +292,7 @@
         if self._has_ended:
             return
         if self._migration is not None:
-            self._migration.hold(lambda: self.on_failure(failure, reason))
+            self._migration.defer_stream_end(lambda: self.on_failure(failure, reason))
             return
         self._release_target()
         target, now = self._target, boot_time()
@@ -349,8 +349,8 @@
             self._report_end(AttemptEnd.MOVED, "", stopped_run=stopped_run)
             return
         self._may_have_stopped = not is_certain
-        if migration.stream_end is not None:
-            migration.stream_end()
+        if migration.on_stream_end is not None:
+            migration.on_stream_end()
 
     def _on_refusal(self, status: int) -> None:
         """Back off from a target that refused the request without running it."""
@@ -407,6 +407,6 @@
         self._count_result(end.value.replace(" ", "-"))
         status = self._head.status if self._head else 0
         result = AttemptResult(
-            self._target, end, reason, status, is_lost=is_lost, moved=stopped_run
+            self._target, end, reason, status, is_lost=is_lost, stopped_run=stopped_run
         )
         self._owner.on_attempt_end(result)
--- a/berylnotch/entry/context.py
+++ b/berylnotch/entry/context.py
@@ -15,7 +15,7 @@
 from berylnotch.group.messages import CrashMark
 from berylnotch.membership.announced_weights import AnnouncedWeights
 from berylnotch.membership.crashes import CrashGuard
-from berylnotch.membership.marks import SharedLosses
+from berylnotch.membership.marks import ReportedLosses
 from berylnotch.placement.cache_model import CacheModel
 from berylnotch.placement.costs import (
     DEFAULT_COPY_TOKENS_PER_MS,
@@ -65,7 +65,7 @@
         Prompts that engines and stores probably hold.
     crashes : CrashGuard
         Guard against requests that crash targets.
-    losses : SharedLosses
+    losses : ReportedLosses
         Target losses that other routers reported.
     crash_marks : list of CrashMark
         Target losses for the next report to the leader.
@@ -100,7 +100,7 @@
     gate: QuotaGate
     prompts: CacheModel
     crashes: CrashGuard
-    losses: SharedLosses = field(factory=SharedLosses)
+    losses: ReportedLosses = field(factory=ReportedLosses)
     crash_marks: list[CrashMark] = field(factory=list)
     routes: RouteTable | None = None
     announced_weights: AnnouncedWeights = field(factory=AnnouncedWeights)
--- a/berylnotch/entry/exchange.py
+++ b/berylnotch/entry/exchange.py
@@ -84,7 +84,7 @@
             timeout_s = min(timeout_s, caller.deadline_s)
         self._started_at = request.received_at
         self._reply = Reply(connection, context.metrics, route.name, self._started_at)
-        connection.on_gone = self._on_caller_disconnect
+        connection.on_disconnected = self._on_caller_disconnect
         connection.on_drained = self._on_drained
         self._deadline = request.received_at + timeout_s
         self._timer: Timer | None = None
@@ -281,7 +281,7 @@
         self._crash_tracker.on_attempt_end()
         if result.end is AttemptEnd.MOVED:
             self._progress.moves += 1
-            self._continue_run(result.moved, result.moved.destination)
+            self._continue_run(result.stopped_run, result.stopped_run.destination)
             return
         is_not_run = result.end in (AttemptEnd.NOT_RUN, AttemptEnd.NOT_REACHED)
         if is_not_run and stopped_run is not None:
@@ -306,7 +306,7 @@
             self._retry(attrs.evolve(result, reason=f"status {status}"), is_run=True)
             return
         is_failure = status in _RETRIED_STATUSES
-        may_repeat = route.is_repeatable and self._progress.runs < route.max_attempts
+        may_repeat = route.is_retryable and self._progress.runs < route.max_attempts
         if is_failure and may_repeat:
             if self._remaining_s > MIN_SEND_TIME_S and self._has_other_target():
                 if self._context.budget(self._service_name).spend(boot_time()):
@@ -334,7 +334,7 @@
         route, progress = self._routed.route, self._progress
         reason = result.reason
         if is_run:
-            may_repeat = route.is_repeatable and progress.runs < route.max_attempts
+            may_repeat = route.is_retryable and progress.runs < route.max_attempts
             if not may_repeat:
                 self._fail_run(reason, result)
                 return
--- a/berylnotch/entry/migration.py
+++ b/berylnotch/entry/migration.py
@@ -98,20 +98,20 @@
         self._stop_attempts = 0
         self._stopped_run: StoppedRun | None = None
         #: Handles the end of a stream that ended during the migration.
-        self._stream_end: Callable[[], None] | None = None
+        self._on_stream_end: Callable[[], None] | None = None
 
     @property
-    def stream_end(self) -> Callable[[], None] | None:
+    def on_stream_end(self) -> Callable[[], None] | None:
         """Deferred handler of the stream's end, None if the stream has not ended."""
-        return self._stream_end
+        return self._on_stream_end
 
     def start(self) -> None:
         """Copy the KV cache while the run continues."""
         self._send(self._move_request(stops_run=False), self._on_copy_answer)
 
-    def hold(self, stream_end: Callable[[], None]) -> None:
+    def defer_stream_end(self, on_stream_end: Callable[[], None]) -> None:
         """Defer the end of the stream until it is known whether the run stopped."""
-        self._stream_end = stream_end
+        self._on_stream_end = on_stream_end
         if self._stopped_run is not None:
             self._end(self._stopped_run, is_certain=True)
 
@@ -149,7 +149,7 @@
         else:
             destination = self._destination if answer.is_copied else self._source
             self._stopped_run = StoppedRun(self._source, destination, answer.handle)
-            if self._stream_end is not None:
+            if self._on_stream_end is not None:
                 self._end(self._stopped_run, is_certain=True)
             else:
                 self._context.loop.call_later(
--- a/berylnotch/entry/reading.py
+++ b/berylnotch/entry/reading.py
@@ -13,7 +13,7 @@
 from berylnotch.util.clock import boot_time
 
 
-class PromptReading:
+class PromptTracker:
     """Tracks the processing of one request's prompt at one target.
 
     The tracker adds the prompt's unprocessed tokens to those of the target, notes the
@@ -63,7 +63,7 @@
             # Other routers choose the same engine until they receive the notes.
             self._context.schedule_report()
 
-    def done(self, sent_at: float) -> None:
+    def on_processed(self, sent_at: float) -> None:
         """Record that the target has processed the prompt; later calls have no effect.
 
         Parameters
--- a/berylnotch/entry/relocation.py
+++ b/berylnotch/entry/relocation.py
@@ -88,7 +88,7 @@
         service = self._context.routes.service(service_name)
         if service is None or service.engine is None or source is None:
             return None
-        if not service.engine.moves_runs:
+        if not service.engine.supports_migration:
             return None
         inputs = make_choice_inputs(self._context, self._routed, service, excluded)
         targets = self._context.targets.of(service_name)
--- a/berylnotch/entry/reply.py
+++ b/berylnotch/entry/reply.py
@@ -75,7 +75,7 @@
                 return
             self._last_event = number
         self._observe_event(boot_time())
-        self._connection.send_piece(data)
+        self._connection.send_chunk(data)
 
     def end_stream(self) -> None:
         """End a complete stream."""
--- a/berylnotch/entry/results.py
+++ b/berylnotch/entry/results.py
@@ -37,7 +37,7 @@
     """Outcome of an attempt, with the target's answer if one has arrived.
 
     ``is_lost`` states that the connection broke while the target may have run the
-    request. ``moved`` is the stopped run if ``end`` is ``AttemptEnd.MOVED``.
+    request. ``stopped_run`` is set if ``end`` is ``AttemptEnd.MOVED``.
     """
 
     target: Target
@@ -47,7 +47,7 @@
     headers: Headers | None = None
     body: bytes = b""
     is_lost: bool = False
-    moved: StoppedRun | None = None
+    stopped_run: StoppedRun | None = None
 
 
 class AttemptOwner(Protocol):
--- a/berylnotch/entry/startup_buffer.py
+++ b/berylnotch/entry/startup_buffer.py
@@ -93,7 +93,7 @@
             return False
         entry = _BufferedRequest(connection, request)
         self._buffered_requests.append(entry)
-        connection.on_gone = lambda: self._discard(entry)
+        connection.on_disconnected = lambda: self._discard(entry)
         self._loop.call_later(release_at - now, lambda: self._release(entry))
         return True
 
@@ -104,7 +104,7 @@
 
     def _release(self, entry: _BufferedRequest) -> None:
         if self._discard(entry):
-            entry.connection.on_gone = None
+            entry.connection.on_disconnected = None
             self._handle_request(entry.connection, entry.request)
 
     def _discard(self, entry: _BufferedRequest) -> bool:
--- a/berylnotch/entry/targets.py
+++ b/berylnotch/entry/targets.py
@@ -238,7 +238,7 @@
         }
         return lost_ids
 
-    def connect(self, target: Target, is_repeatable: bool) -> ClientConnection:
+    def connect(self, target: Target, is_retryable: bool) -> ClientConnection:
         """Return a kept or new connection for a request.
 
         A request that must not be repeated gets a kept connection only if this
@@ -247,7 +247,7 @@
         """
         now = boot_time()
         max_idle_s = self._settings.max_idle_s
-        if not is_repeatable:
+        if not is_retryable:
             max_idle_s = self._settings.max_idle_unrepeatable_s
         while target.idle:
             connection = target.idle.pop()
--- a/berylnotch/gateways/answers.py
+++ b/berylnotch/gateways/answers.py
@@ -7,7 +7,7 @@
 
 import cattrs
 
-from berylnotch.gateways.errors import BadAnswerError, BusyError
+from berylnotch.gateways.errors import BusyError, InvalidResponseError
 
 #: Largest response body that is decoded, in bytes.
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
@@ -43,19 +43,19 @@
     ------
     BusyError
         If the status is 429 or 503, by which a system asks for fewer requests.
-    BadAnswerError
+    InvalidResponseError
         If the response has another status than 200, or if the body is too large or
         does not decode to ``cls``.
     """
     if status in _BUSY_STATUSES:
         raise BusyError(f"system is overloaded: response status {status}")
     if status != _OK_STATUS:
-        raise BadAnswerError(f"unexpected response status {status}")
+        raise InvalidResponseError(f"unexpected response status {status}")
     if len(body) > MAX_RESPONSE_BYTES:
-        raise BadAnswerError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
+        raise InvalidResponseError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
     try:
         return _converter.structure(json.loads(body), cls)
     except (ValueError, TypeError, RecursionError, cattrs.BaseValidationError) as error:
-        raise BadAnswerError(
+        raise InvalidResponseError(
             f"response is not a valid {cls.__name__}: {error}"
         ) from error
--- a/berylnotch/gateways/cache_events.py
+++ b/berylnotch/gateways/cache_events.py
@@ -8,7 +8,7 @@
 
 from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.engine import EngineAddress, credential_headers
-from berylnotch.gateways.errors import BadAnswerError
+from berylnotch.gateways.errors import InvalidResponseError
 from berylnotch.gateways.http import UpstreamRequest
 
 #: Path at which an engine serves its cache events.
@@ -90,12 +90,12 @@
 
 
 def read_cache_events(status: int, body: bytes) -> CacheEvents:
-    """Decode cache events; raises `BadAnswerError` or `BusyError`."""
+    """Decode cache events; raises `InvalidResponseError` or `BusyError`."""
     response = decode_response(_EventsResponse, status, body)
     events = tuple(_decode_event(record) for record in response.events)
     for earlier, later in zip(events, events[1:], strict=False):
         if later.sequence <= earlier.sequence:
-            raise BadAnswerError(
+            raise InvalidResponseError(
                 "cache events are not in the order of their sequence numbers"
             )
     return CacheEvents(response.incarnation, response.weights, response.last, events)
@@ -105,7 +105,7 @@
     try:
         block = bytes.fromhex(record.block)
     except ValueError as error:
-        raise BadAnswerError(
+        raise InvalidResponseError(
             "block hash in a cache event is not hexadecimal"
         ) from error
     return CacheEvent(record.sequence, record.kind, block)
--- a/berylnotch/gateways/engine.py
+++ b/berylnotch/gateways/engine.py
@@ -121,7 +121,7 @@
 
 
 def read_engine_head(lines: Iterable[bytes]) -> ResponseHead:
-    """Decode the head of an engine's response; raises `BadAnswerError`."""
+    """Decode the head of an engine's response; raises `InvalidResponseError`."""
     return read_head(lines, _FORWARDED_HEADERS)
 
 
--- a/berylnotch/gateways/errors.py
+++ b/berylnotch/gateways/errors.py
@@ -9,7 +9,7 @@
     """A caller's request must not be forwarded; no target has executed it."""
 
 
-class BadAnswerError(GatewayError):
+class InvalidResponseError(GatewayError):
     """The response of an external system cannot be decoded."""
 
 
@@ -17,7 +17,7 @@
     """An external system is overloaded and asks for fewer requests."""
 
 
-class OldFenceError(GatewayError):
+class StaleFencingTokenError(GatewayError):
     """An engine refused an order because it has seen a higher fencing token."""
 
 
--- a/berylnotch/gateways/fetch.py
+++ b/berylnotch/gateways/fetch.py
@@ -7,7 +7,7 @@
 
 from berylnotch.errors import GatewayError
 from berylnotch.gateways.answers import MAX_RESPONSE_BYTES
-from berylnotch.gateways.errors import BadAnswerError, UnreachableError
+from berylnotch.gateways.errors import InvalidResponseError, UnreachableError
 from berylnotch.gateways.http import read_head
 
 if TYPE_CHECKING:
@@ -57,7 +57,9 @@
         if end.error:
             raise UnreachableError(end.error, end.sent)
         if len(self._body) > MAX_RESPONSE_BYTES:
-            raise BadAnswerError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
+            raise InvalidResponseError(
+                f"response body exceeds {MAX_RESPONSE_BYTES} bytes"
+            )
         head = read_head(self._head_lines, frozenset())
         return self._read(head.status, bytes(self._body))
 
--- a/berylnotch/gateways/http.py
+++ b/berylnotch/gateways/http.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from berylnotch.gateways.errors import BadAnswerError, ForbiddenRequestError
+from berylnotch.gateways.errors import ForbiddenRequestError, InvalidResponseError
 from berylnotch.streams.actions import Header
 from berylnotch.streams.inputs import ResponseHead
 
@@ -109,13 +109,13 @@
 
     Raises
     ------
-    BadAnswerError
+    InvalidResponseError
         If the status line is malformed.
     """
     status_line, *header_lines = list(lines) or [b""]
     match = _STATUS_LINE.match(status_line)
     if match is None:
-        raise BadAnswerError("response has a malformed status line")
+        raise InvalidResponseError("response has a malformed status line")
     fields: dict[str, str] = {}
     for line in header_lines:
         name, _, value = line.decode("latin-1").partition(":")
--- a/berylnotch/gateways/kvstore.py
+++ b/berylnotch/gateways/kvstore.py
@@ -9,7 +9,7 @@
 
 from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.engine import EngineAddress, credential_headers
-from berylnotch.gateways.errors import BadAnswerError
+from berylnotch.gateways.errors import InvalidResponseError
 from berylnotch.gateways.http import UpstreamRequest
 from berylnotch.streams.actions import Header
 
@@ -63,10 +63,10 @@
 
     Raises
     ------
-    BadAnswerError, BusyError
+    InvalidResponseError, BusyError
         If the response cannot be decoded.
     """
     stored = decode_response(StoredPrefix, status, body)
     if not 0 <= stored.pieces <= chain_length:
-        raise BadAnswerError("KV store reports more prefixes than were requested")
+        raise InvalidResponseError("KV store reports more prefixes than were requested")
     return stored.pieces if stored.weights == weights else 0
--- a/berylnotch/gateways/load.py
+++ b/berylnotch/gateways/load.py
@@ -60,7 +60,7 @@
 
 
 def read_load(status: int, body: bytes) -> TargetLoad:
-    """Decode a load report; raises `BadAnswerError` or `BusyError`."""
+    """Decode a load report; raises `InvalidResponseError` or `BusyError`."""
     return decode_response(TargetLoad, status, body)
 
 
--- a/berylnotch/gateways/orders.py
+++ b/berylnotch/gateways/orders.py
@@ -8,7 +8,7 @@
 
 from berylnotch.gateways.answers import decode_response
 from berylnotch.gateways.engine import EngineAddress, credential_headers
-from berylnotch.gateways.errors import OldFenceError
+from berylnotch.gateways.errors import StaleFencingTokenError
 from berylnotch.gateways.http import UpstreamRequest
 from berylnotch.streams.actions import Header
 
@@ -53,11 +53,11 @@
 
     Raises
     ------
-    OldFenceError
+    StaleFencingTokenError
         If the engine has seen a higher fencing token.
-    BadAnswerError, BusyError
+    InvalidResponseError, BusyError
         If the response cannot be decoded.
     """
     if status == _CONFLICT:
-        raise OldFenceError("engine has seen a higher fencing number")
+        raise StaleFencingTokenError("engine has seen a higher fencing number")
     return decode_response(OrderAnswer, status, body)
--- a/berylnotch/gateways/plain.py
+++ b/berylnotch/gateways/plain.py
@@ -126,7 +126,7 @@
 
 
 def read_plain_head(lines: Iterable[bytes]) -> ResponseHead:
-    """Decode the head of a plain service's response; raises `BadAnswerError`."""
+    """Decode the head of a plain service's response; raises `InvalidResponseError`."""
     return read_head(lines, _FORWARDED_HEADERS)
 
 
--- a/berylnotch/gateways/vmlist.py
+++ b/berylnotch/gateways/vmlist.py
@@ -53,5 +53,5 @@
 
 
 def read_vms(status: int, body: bytes) -> VmList:
-    """Decode the list; raises `BadAnswerError` or `BusyError`."""
+    """Decode the list; raises `InvalidResponseError` or `BusyError`."""
     return decode_response(VmList, status, body)
--- a/berylnotch/gateways/weights.py
+++ b/berylnotch/gateways/weights.py
@@ -44,7 +44,7 @@
 
 
 def read_versions(status: int, body: bytes) -> WeightsVersions:
-    """Decode the versions; raises `BadAnswerError` or `BusyError`.
+    """Decode the versions; raises `InvalidResponseError` or `BusyError`.
 
     `BusyError` also reports that the store's rate limit is exceeded.
     """
--- a/berylnotch/membership/marks.py
+++ b/berylnotch/membership/marks.py
@@ -8,7 +8,7 @@
 MAX_FINGERPRINTS = 1024
 
 
-class SharedLosses:
+class ReportedLosses:
     """Targets that were lost while they ran a request, by its fingerprint."""
 
     def __init__(self) -> None:
--- a/berylnotch/membership/targets.py
+++ b/berylnotch/membership/targets.py
@@ -83,7 +83,7 @@
         self._fleet: Fleet | None = None
         self._names_by_service: dict[str, tuple[str, ...]] = {}
 
-    def begin(self, now: float, target: str, work_s: float) -> Dispatch:
+    def record_sent(self, now: float, target: str, work_s: float) -> Dispatch:
         """Record a request that is sent to ``target``."""
         record = self._get_record(target)
         self._last_dispatch_number += 1
@@ -99,7 +99,7 @@
             dispatch.number, None
         )
 
-    def finish(self, now: float, dispatch: Dispatch, ok: bool) -> None:
+    def record_end(self, now: float, dispatch: Dispatch, ok: bool) -> None:
         """Record a request's end; ``ok`` is false if the target failed to serve it."""
         record = self._get_record(dispatch.target)
         record.awaiting_first_token.pop(dispatch.number, None)
@@ -112,7 +112,7 @@
             if record.ejection.is_ejected:
                 self._ejected_targets.add(dispatch.target)
 
-    def abandon(self, dispatch: Dispatch) -> None:
+    def record_abandoned(self, dispatch: Dispatch) -> None:
         """Record the end of a request that says nothing about its target's health.
 
         An example is a request whose caller disconnected.
--- a/berylnotch/net/server.py
+++ b/berylnotch/net/server.py
@@ -74,7 +74,7 @@
         #: limit for reading the response.
         self._backlog_bytes = 0
         #: Called once if the caller disconnects while its request is served.
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnected: Callable[[], None] | None = None
         #: Called when all buffered output has been sent.
         self.on_drained: Callable[[], None] | None = None
 
@@ -125,7 +125,7 @@
         self._output += encode_head(status, headers)
         self._flush()
 
-    def send_piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send a chunk of a streamed body."""
         if self._is_closed or not data:
             return
@@ -143,7 +143,7 @@
 
     def abort(self) -> None:
         """Close the connection; a response in progress stays incomplete."""
-        self.on_gone = None
+        self.on_disconnected = None
         self._close()
 
     def check_limits(self, now: float) -> None:
@@ -230,7 +230,7 @@
 
     def _finish(self, close: bool) -> None:
         self.request = None
-        self.on_gone = None
+        self.on_disconnected = None
         self.on_drained = None
         self._last_active_at = boot_time()
         self._backlog_bytes = len(self._output)
@@ -290,9 +290,9 @@
         self._loop.watch(self._sock, 0, self._on_ready)
         self._sock.close()
         self._server.remove(self)
-        on_gone, self.on_gone = self.on_gone, None
-        if on_gone is not None:
-            on_gone()
+        on_disconnected, self.on_disconnected = self.on_disconnected, None
+        if on_disconnected is not None:
+            on_disconnected()
 
 
 #: Serves a request and sends the response on its connection.
@@ -342,7 +342,7 @@
         return self._acceptor.address
 
     @property
-    def busy_count(self) -> int:
+    def active_connection_count(self) -> int:
         """Number of connections that are not idle."""
         return sum(not connection.is_idle for connection in self._connections)
 
--- a/berylnotch/placement/model.py
+++ b/berylnotch/placement/model.py
@@ -106,21 +106,21 @@
         penalties; lower is better.
     reason : str
         Components of the score, shown to operators.
-    cached_pieces : int
+    cached_blocks : int
         Leading blocks expected in the target's cache.
     incarnation, weights : str
         Process and weights version for which the target was ranked.
     import_from : str
         Target or KV store from which to import blocks; empty to compute them.
-    import_pieces : int
+    import_blocks : int
         Leading blocks known to be cached at ``import_from``.
     """
 
     name: str
     score_ms: float
     reason: str
-    cached_pieces: int = 0
+    cached_blocks: int = 0
     incarnation: str = ""
     weights: str = ""
     import_from: str = ""
-    import_pieces: int = 0
+    import_blocks: int = 0
--- a/berylnotch/placement/placer.py
+++ b/berylnotch/placement/placer.py
@@ -20,7 +20,7 @@
 
 
 #: Priority of an organisation that uses exactly its share.
-EVEN_PRIORITY = 4
+NEUTRAL_PRIORITY = 4
 
 
 class Prompt:
@@ -87,7 +87,7 @@
     exclude: frozenset[str] = frozenset()
     weights: str = ""
     stores: tuple[str, ...] = ()
-    priority: int = EVEN_PRIORITY
+    priority: int = NEUTRAL_PRIORITY
 
 
 @frozen
@@ -187,7 +187,9 @@
         ranked.sort(key=lambda item: (item.score_ms, item.name))
         return tuple(ranked)
 
-    def sent(self, now: float, request: PlacementRequest, chosen: Ranked) -> None:
+    def record_sent(
+        self, now: float, request: PlacementRequest, chosen: Ranked
+    ) -> None:
         """Record that the request was sent to a ranked target."""
         chain = request.prompt.chain(chosen.weights)
         self._cached_levels = None
@@ -198,7 +200,7 @@
         """Apply a cache event of an engine."""
         self._hints.apply(now, event)
 
-    def target_lost(self, target: str) -> None:
+    def on_target_lost(self, target: str) -> None:
         """Drop the cached prefixes of an engine whose process was lost."""
         self._hints.forget(target)
 
@@ -208,7 +210,7 @@
         """Return the levels of a chain; a ranking reuses those of its shortlist."""
         cached = self._cached_levels
         if cached is None or cached.now != now or cached.chain is not chain:
-            levels = self._hot.levels(now, chain, priority > EVEN_PRIORITY)
+            levels = self._hot.levels(now, chain, priority > NEUTRAL_PRIORITY)
             cached = _CachedLevels(now, chain, levels)
             self._cached_levels = cached
         return cached.levels
--- a/berylnotch/placement/rank.py
+++ b/berylnotch/placement/rank.py
@@ -189,9 +189,9 @@
             f"wait={wait_ms:.0f}ms load={load_ms:.0f}ms far={cross_domain_ms:.0f}ms "
             f"cached={cached:.1f}/{query.prompt_blocks}"
         ),
-        cached_pieces=int(cached),
+        cached_blocks=int(cached),
         incarnation=candidate.incarnation,
         weights=candidate.weights,
         import_from=source.name if is_import else "",
-        import_pieces=source.blocks if is_import else 0,
+        import_blocks=source.blocks if is_import else 0,
     )
--- a/berylnotch/platform/configuration.py
+++ b/berylnotch/platform/configuration.py
@@ -15,10 +15,10 @@
     get_string,
     parse_json,
 )
-from berylnotch.routing.checks import check
+from berylnotch.routing.checks import check_configuration
 from berylnotch.routing.errors import InvalidConfigurationError
 from berylnotch.routing.model import (
-    EngineKind,
+    EngineProperties,
     FleetConfiguration,
     Organisation,
     Route,
@@ -47,7 +47,7 @@
         configuration = _decode_fleet_configuration(values)
     except FieldError as error:
         raise InvalidConfigurationError(str(error)) from error
-    check(configuration)
+    check_configuration(configuration)
     return configuration
 
 
@@ -117,15 +117,15 @@
     )
 
 
-def _decode_engine(values: dict[str, Any]) -> EngineKind:
+def _decode_engine(values: dict[str, Any]) -> EngineProperties:
     models = (as_object(m, "model") for m in get_list(values, "models", []))
-    return EngineKind(
+    return EngineProperties(
         slots=get_integer(values, "slots"),
         cache_tokens=get_integer(values, "kvCapacityTokens", 0),
         token_bytes=int(get_number(values, "tokenBytes", 0)),
         models=tuple(get_string(model, "name") for model in models),
         link_mbps=get_number(values, "linkMbps", 0),
-        moves_runs=get_bool(values, "moves", False),
+        supports_migration=get_bool(values, "moves", False),
     )
 
 
--- a/berylnotch/quota/usage.py
+++ b/berylnotch/quota/usage.py
@@ -11,7 +11,7 @@
 WORST_PRIORITY = 9
 
 #: Priority of an organisation that uses exactly its share.
-EVEN_PRIORITY = 4
+NEUTRAL_PRIORITY = 4
 
 #: Number of priority steps for each doubling of the use.
 STEPS_PER_DOUBLING = 2
@@ -66,5 +66,5 @@
     if use <= 0 or total_use <= 0:
         return BEST_PRIORITY
     ratio = (use / share) / (total_use / total_share)
-    priority = round(EVEN_PRIORITY + STEPS_PER_DOUBLING * math.log2(ratio))
+    priority = round(NEUTRAL_PRIORITY + STEPS_PER_DOUBLING * math.log2(ratio))
     return max(BEST_PRIORITY, min(WORST_PRIORITY, priority))
--- a/berylnotch/routing/checks.py
+++ b/berylnotch/routing/checks.py
@@ -6,7 +6,7 @@
 from berylnotch.routing.model import FleetConfiguration, Route
 
 
-def check(configuration: FleetConfiguration) -> None:
+def check_configuration(configuration: FleetConfiguration) -> None:
     """Check that a configuration is consistent.
 
     Raises
--- a/berylnotch/routing/model.py
+++ b/berylnotch/routing/model.py
@@ -73,7 +73,7 @@
     max_gap_s: float = 0.0
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request may be executed more than once."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
@@ -81,14 +81,14 @@
 
 
 @frozen
-class EngineKind:
+class EngineProperties:
     """Properties of the engines of a model service.
 
     ``slots`` is the number of requests that an engine runs concurrently,
     ``cache_tokens`` the capacity of its KV cache in tokens, ``token_bytes`` the size of
     a cached token in bytes, and ``link_mbps`` the bandwidth of transfers from other
-    engines in Mbit/s; 0 if not stated. ``moves_runs`` tells whether a running request
-    can be migrated to another engine.
+    engines in Mbit/s; 0 if not stated. ``supports_migration`` tells whether a running
+    request can be migrated to another engine.
     """
 
     slots: int
@@ -96,7 +96,7 @@
     token_bytes: int
     models: tuple[str, ...]
     link_mbps: float = 0.0
-    moves_runs: bool = False
+    supports_migration: bool = False
 
     def tokens_per_ms(self, link_mbps: float) -> float:
         """Return the cached tokens per ms that a link transfers, 0 if unknown."""
@@ -116,7 +116,7 @@
     name: str
     health_path: str = ""
     max_connections: int = 0
-    engine: EngineKind | None = None
+    engine: EngineProperties | None = None
     store_address: str = ""
     failure_domain: str = ""
     store_tokens: int = 0
--- a/berylnotch/server/app.py
+++ b/berylnotch/server/app.py
@@ -296,7 +296,7 @@
         "event=request_refused request={} reason={} run={}",
         request_id,
         refusal.code,
-        refusal.mark.value,
+        refusal.run_status.value,
     )
     body = responses.error_body(refusal.code, refusal.message, refusal.status)
     headers = responses.refusal_headers(refusal, request_id)
--- a/berylnotch/server/attempts.py
+++ b/berylnotch/server/attempts.py
@@ -84,7 +84,7 @@
     def choose(self, job: Job, action: StartAttempt) -> TargetChoice | None:
         """Choose a target, or return None if no target can take the attempt."""
         now = time.monotonic()
-        avoided = self._context.guard.targets_to_avoid(now, job.fingerprint)
+        avoided = self._context.crash_guard.targets_to_avoid(now, job.fingerprint)
         ranked = self._rank(now, job, action, action.exclude | avoided)
         if not ranked and avoided:
             # A request suspected of crashing targets avoids targets that run other
@@ -108,15 +108,15 @@
         """Record that the request is sent to the chosen target."""
         if job.prompt is not None:
             request = self._make_placement_request(job, "", frozenset())
-            self._context.placer.sent(time.monotonic(), request, choice.ranked)
+            self._context.placer.record_sent(time.monotonic(), request, choice.ranked)
             self._count_pieces(job, choice)
 
     def _count_pieces(self, job: Job, choice: TargetChoice) -> None:
         metrics, label = self._context.metrics, Label("service", job.service.name)
-        cached_pieces = choice.ranked.cached_pieces
+        cached_blocks = choice.ranked.cached_blocks
         metrics.count("berylnotch_prompt_pieces_total", label, amount=job.prompt.pieces)
         metrics.count(
-            "berylnotch_expected_hit_pieces_total", label, amount=cached_pieces
+            "berylnotch_expected_hit_pieces_total", label, amount=cached_blocks
         )
 
     def build_request(
@@ -226,7 +226,7 @@
         if job.service.kind is not ServiceKind.LANGUAGE or job.language is None:
             return _PLAIN_WORK_S
         settings = self._context.settings.placement
-        cached_tokens = best.cached_pieces * settings.piece_tokens
+        cached_tokens = best.cached_blocks * settings.piece_tokens
         uncached_tokens = max(job.language.prompt_tokens - cached_tokens, 0)
         return uncached_tokens / settings.prefill_tokens_per_s
 
--- a/berylnotch/server/claims.py
+++ b/berylnotch/server/claims.py
@@ -26,7 +26,7 @@
 from berylnotch.streams.actions import (
     Finish,
     FinishReason,
-    RunMark,
+    RunStatus,
     SendBytes,
     SendHead,
 )
@@ -158,9 +158,9 @@
 
 
 def _claim_state(finish: Finish) -> ClaimState:
-    if finish.mark is RunMark.NOT_RUN:
+    if finish.run_status is RunStatus.NOT_RUN:
         return ClaimState.NOT_RUN
-    if finish.reason is FinishReason.COMPLETE and finish.mark is RunMark.RAN:
+    if finish.reason is FinishReason.COMPLETE and finish.run_status is RunStatus.RAN:
         return ClaimState.DONE
     return ClaimState.UNKNOWN
 
@@ -185,7 +185,7 @@
         503,
         "claims_unavailable",
         "the claim on this request could not be agreed in time",
-        RunMark.NOT_RUN,
+        RunStatus.NOT_RUN,
         responses.SHORT_RETRY_S,
     )
 
@@ -199,7 +199,7 @@
             409,
             "in_progress",
             "the request with this idempotency key is running",
-            RunMark.UNKNOWN,
+            RunStatus.UNKNOWN,
             _IN_PROGRESS_RETRY_S,
         )
     return Refusal(
@@ -207,5 +207,5 @@
         "outcome_unknown",
         "whether the request with this idempotency key ran is not known; "
         "an operator can settle it",
-        RunMark.UNKNOWN,
+        RunStatus.UNKNOWN,
     )
--- a/berylnotch/server/context.py
+++ b/berylnotch/server/context.py
@@ -58,7 +58,8 @@
     """Shared state of a router; used in the loop's thread only.
 
     ``view`` and ``freshness`` are also read by the threads that check requests.
-    ``hurry`` reports new demand for tokens ahead of the regular heartbeat.
+    ``send_heartbeat_soon`` reports new demand for tokens ahead of the regular
+    heartbeat.
     """
 
     loop: Loop
@@ -67,13 +68,13 @@
     freshness: Freshness
     quota: LocalQuota
     health: TargetHealth
-    guard: CrashGuard
+    crash_guard: CrashGuard
     placer: Placer
     upstreams: Upstreams
     proposer: Proposer
     metrics: Metrics
     incarnation: str
-    hurry: Callable[[], None]
+    send_heartbeat_soon: Callable[[], None]
     decisions: Decisions = field(factory=Decisions)
     jobs: set[Job] = field(factory=set)
 
--- a/berylnotch/server/delivery.py
+++ b/berylnotch/server/delivery.py
@@ -11,7 +11,7 @@
 from berylnotch.gateways.engine import completion_tokens
 from berylnotch.server import responses
 from berylnotch.server.job import UnchargedBytes
-from berylnotch.streams.actions import RunMark, SendBytes, SendHead
+from berylnotch.streams.actions import RunStatus, SendBytes, SendHead
 from berylnotch.util.metrics import Label
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
         """Write the head of a target's answer."""
         headers = Headers([(h.name, h.value) for h in action.headers])
         headers[responses.REQUEST_ID_HEADER] = job.request.request_id
-        headers[responses.RUN_HEADER] = action.mark.value
+        headers[responses.RUN_HEADER] = action.run_status.value
         if action.content_length is None:
             job.chunked = True
             headers["Transfer-Encoding"] = "chunked"
@@ -193,5 +193,5 @@
     headers["Content-Length"] = str(length)
     headers["Idempotent-Replayed"] = "true"
     headers[responses.REQUEST_ID_HEADER] = job.request.request_id
-    headers[responses.RUN_HEADER] = RunMark.RAN.value
+    headers[responses.RUN_HEADER] = RunStatus.RAN.value
     return responses.response_head(status, headers)
--- a/berylnotch/server/engine.py
+++ b/berylnotch/server/engine.py
@@ -54,7 +54,7 @@
     def __init__(self, context: Context, stream_secret: bytes) -> None:
         self._context = context
         self._stream_secret = stream_secret
-        self._demand = TokenDemand(context.quota, context.hurry)
+        self._demand = TokenDemand(context.quota, context.send_heartbeat_soon)
         self._selector = TargetSelector(context)
         self._claim_client = ClaimClient(context)
         self._runner = Runner(
@@ -131,7 +131,10 @@
             refusal = self._check_key(job, now)
             if refusal is not None:
                 return refusal
-        guard, reported_losses = self._context.guard, self._context.reported_losses
+        guard, reported_losses = (
+            self._context.crash_guard,
+            self._context.reported_losses,
+        )
         if guard.is_refused(now, job.fingerprint, reported_losses):
             message = "targets were lost while they ran this request; it is not run"
             return Refusal(422, "request_crashes_targets", message)
@@ -239,7 +242,7 @@
             job.request.request_id,
             organisation,
             refusal.code,
-            refusal.mark.value,
+            refusal.run_status.value,
         )
 
     def _on_caller_disconnected(self, job: Job) -> None:
--- a/berylnotch/server/errors.py
+++ b/berylnotch/server/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from berylnotch.errors import RequestError
-from berylnotch.streams.actions import RunMark
+from berylnotch.streams.actions import RunStatus
 
 
 class Refusal(RequestError):
@@ -17,7 +17,7 @@
         Machine-readable reason, such as ``rate_limited``.
     message : str
         Human-readable reason.
-    mark : RunMark, default=RunMark.NOT_RUN
+    run_status : RunStatus, default=RunStatus.NOT_RUN
         Whether a target ran the request.
     retry_after_s : float, default=0.0
         Seconds until a retry is useful; 0 if a retry would be refused as well.
@@ -28,12 +28,12 @@
         status: int,
         code: str,
         message: str,
-        mark: RunMark = RunMark.NOT_RUN,
+        run_status: RunStatus = RunStatus.NOT_RUN,
         retry_after_s: float = 0.0,
     ) -> None:
         super().__init__(message)
         self.status = status
         self.code = code
         self.message = message
-        self.mark = mark
+        self.run_status = run_status
         self.retry_after_s = retry_after_s
--- a/berylnotch/server/judging.py
+++ b/berylnotch/server/judging.py
@@ -40,7 +40,7 @@
 
     def is_refused(self, job: Job, now: float) -> bool:
         """Return whether losses forbid another attempt, and set ``is_poison``."""
-        job.is_poison = self._context.guard.is_refused(
+        job.is_poison = self._context.crash_guard.is_refused(
             now, job.fingerprint, self._context.reported_losses
         )
         return job.is_poison
@@ -64,15 +64,15 @@
         """Record the engine's incarnation from the head of an answer."""
         incarnation = attempt.head.incarnation
         if incarnation and self._context.health.observe(attempt.target, incarnation):
-            self._context.placer.target_lost(attempt.target)
+            self._context.placer.on_target_lost(attempt.target)
 
     def on_attempt_failed(self, job: Job, action: AttemptFailed) -> None:
         """Record a failed attempt."""
         now = time.monotonic()
         if action.cause in _NEUTRAL_CAUSES:
-            self._context.health.abandon(job.attempt.dispatch)
+            self._context.health.record_abandoned(job.attempt.dispatch)
         else:
-            self._context.health.finish(now, job.attempt.dispatch, False)
+            self._context.health.record_end(now, job.attempt.dispatch, False)
         labels = Label("target", action.target), Label("cause", action.cause.value)
         self._context.metrics.count("berylnotch_attempts_failed_total", *labels)
         logger.info(
@@ -84,26 +84,29 @@
         )
         if action.cause in _LOSS_CAUSES:
             self._record_loss(job, action, now)
-        self._context.guard.on_request_ended(job.fingerprint, action.target)
+        self._context.crash_guard.on_request_ended(job.fingerprint, action.target)
 
     def on_exchange_finished(self, job: Job, action: Finish, now: float) -> None:
         """Record the end of a job's exchange."""
         attempt = job.attempt
         if attempt is None:
             return
-        self._context.guard.on_request_ended(job.fingerprint, attempt.target)
+        self._context.crash_guard.on_request_ended(job.fingerprint, attempt.target)
         if action.reason is FinishReason.COMPLETE:
-            self._context.guard.on_request_completed(job.fingerprint, now)
-            self._context.health.finish(now, attempt.dispatch, True)
+            self._context.crash_guard.on_request_completed(job.fingerprint, now)
+            self._context.health.record_end(now, attempt.dispatch, True)
         else:
-            self._context.health.abandon(attempt.dispatch)
+            self._context.health.record_abandoned(attempt.dispatch)
         if action.reason is FinishReason.TARGET_FAILED:
             # The loss that ended the exchange may have been the second loss of a
             # target; after two losses the request is refused.
             self.is_refused(job, now)
 
     def _record_loss(self, job: Job, action: AttemptFailed, now: float) -> None:
-        guard, reported_losses = self._context.guard, self._context.reported_losses
+        guard, reported_losses = (
+            self._context.crash_guard,
+            self._context.reported_losses,
+        )
         verdict = guard.on_target_lost(
             now, action.target, (job.fingerprint,), reported_losses
         )
--- a/berylnotch/server/polling.py
+++ b/berylnotch/server/polling.py
@@ -78,6 +78,6 @@
                 return
             report = to_report(load, now)
             if self._context.health.report(target.name, report):
-                self._context.placer.target_lost(target.name)
+                self._context.placer.on_target_lost(target.name)
 
         fetch(self._context.upstreams, request, read_load, on_load)
--- a/berylnotch/server/responses.py
+++ b/berylnotch/server/responses.py
@@ -38,7 +38,7 @@
     headers = Headers()
     headers["Content-Type"] = "application/json"
     headers[REQUEST_ID_HEADER] = request_id
-    headers[RUN_HEADER] = refusal.mark.value
+    headers[RUN_HEADER] = refusal.run_status.value
     if refusal.retry_after_s > 0:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry_after_s)))
     else:
--- a/berylnotch/server/runner.py
+++ b/berylnotch/server/runner.py
@@ -11,7 +11,7 @@
 
 from berylnotch.control.commands import ClaimState
 from berylnotch.gateways.engine import read_engine_head
-from berylnotch.gateways.errors import BadAnswerError, ForbiddenRequestError
+from berylnotch.gateways.errors import ForbiddenRequestError, InvalidResponseError
 from berylnotch.gateways.plain import read_plain_head
 from berylnotch.server import responses
 from berylnotch.server.errors import Refusal
@@ -25,7 +25,7 @@
     FinishReason,
     PauseUpstream,
     ResumeUpstream,
-    RunMark,
+    RunStatus,
     SendBytes,
     SendHead,
     StartAttempt,
@@ -101,12 +101,12 @@
     def on_key_withdrawn(self, job: Job) -> None:
         """End a job whose key was withdrawn."""
         self._delivery.drop_uncharged(job)
-        self.perform(job, job.exchange.key_withdrawn(time.monotonic()))
+        self.perform(job, job.exchange.on_key_withdrawn(time.monotonic()))
 
     def on_caller_disconnected(self, job: Job) -> None:
         """End a job whose caller disconnected."""
         self._delivery.drop_uncharged(job)
-        self.perform(job, job.exchange.caller_gone(time.monotonic()))
+        self.perform(job, job.exchange.on_caller_disconnected(time.monotonic()))
 
     def perform(self, job: Job, actions: Iterable[Action]) -> None:
         """Perform actions, and the further actions that result from them."""
@@ -126,14 +126,14 @@
             return
         if job.attempt is not None and job.attempt.transfer is not None:
             self._context.upstreams.cancel(job.attempt.transfer)
-            self._context.health.abandon(job.attempt.dispatch)
+            self._context.health.record_abandoned(job.attempt.dispatch)
         if job.timer is not None:
             job.timer.cancel()
         if job.claim_attempt:
             self._claim_client.close_unfinished(job, ClaimState.UNKNOWN)
         if not job.first_byte_at:
             message = "internal error; see the router's log"
-            refusal = Refusal(500, "internal_error", message, RunMark.UNKNOWN)
+            refusal = Refusal(500, "internal_error", message, RunStatus.UNKNOWN)
             job.caller.write(
                 responses.refusal_response(refusal, job.request.request_id)
             )
@@ -173,24 +173,24 @@
     def _start_attempt(self, job: Job, action: StartAttempt) -> tuple[Action, ...]:
         now = time.monotonic()
         if self._accounting.is_refused(job, now):
-            return job.exchange.no_target(now, action.number, _POISON_CODE)
+            return job.exchange.on_no_target(now, action.number, _POISON_CODE)
         if not self._accounting.can_attempt(job, action):
             message = f"too many requests to {job.service.name} fail at present"
-            return job.exchange.no_target(now, action.number, message, 1.0)
+            return job.exchange.on_no_target(now, action.number, message, 1.0)
         choice = self._selector.choose(job, action)
         if choice is None:
             message = f"no target of {job.service.name} can take the request"
-            return job.exchange.no_target(now, action.number, message, 1.0)
+            return job.exchange.on_no_target(now, action.number, message, 1.0)
         timeout_s = max(job.deadline - now, 0.001)
         try:
             request = self._selector.build_request(
                 job, choice.target, action, timeout_s
             )
         except ForbiddenRequestError as error:
-            return job.exchange.no_target(now, action.number, str(error))
+            return job.exchange.on_no_target(now, action.number, str(error))
         name = choice.target.name
-        dispatch = self._context.health.begin(now, name, choice.work_s)
-        self._context.guard.on_request_started(job.fingerprint, name)
+        dispatch = self._context.health.record_sent(now, name, choice.work_s)
+        self._context.crash_guard.on_request_started(job.fingerprint, name)
         self._selector.record_sent(job, choice)
         attempt = Attempt(action.number, name, dispatch)
         job.attempt = attempt
@@ -211,12 +211,12 @@
         try:
             attempt.head = read_head(lines)
             self._accounting.on_head(attempt)
-        except BadAnswerError:
+        except InvalidResponseError:
             end = UpstreamEnd(complete=False, sent=True)
             self._context.upstreams.cancel(attempt.transfer)
-            actions = job.exchange.upstream_end(now, attempt.number, end)
+            actions = job.exchange.on_transfer_end(now, attempt.number, end)
         else:
-            actions = job.exchange.head(now, attempt.number, attempt.head)
+            actions = job.exchange.on_response_head(now, attempt.number, attempt.head)
         self.perform(job, actions)
 
     def _on_body(self, job: Job, attempt: Attempt, data: bytes) -> None:
@@ -225,14 +225,14 @@
         # After a suspension of the process, data may be read before the timer that
         # checks freshness runs.
         self._check_freshness()
-        self.perform(job, job.exchange.body(now, attempt.number, data))
+        self.perform(job, job.exchange.on_response_chunk(now, attempt.number, data))
         if job.caller.is_full:
             self.pause(job, PauseReason.CALLER)
 
     def _on_end(self, job: Job, attempt: Attempt, end: TransferEnd) -> None:
         upstream_end = UpstreamEnd(complete=not end.error, sent=end.sent)
         now = time.monotonic()
-        actions = job.exchange.upstream_end(now, attempt.number, upstream_end)
+        actions = job.exchange.on_transfer_end(now, attempt.number, upstream_end)
         self.perform(job, actions)
 
     def _cancel_upstream(self, job: Job) -> None:
@@ -286,12 +286,13 @@
             Label("service", job.service.name),
             Label("organisation", job.organisation_name),
             Label("reason", action.reason.value),
-            Label("run", action.mark.value),
+            Label("run", action.run_status.value),
         )
         self._context.metrics.count("berylnotch_requests_total", *labels)
         self._context.decisions.record_outcome(
             job.request.request_id,
-            f"{action.reason.value} run={action.mark.value} attempts={action.attempts}",
+            f"{action.reason.value} run={action.run_status.value} "
+            f"attempts={action.attempts}",
         )
         logger.info(
             "event=request_over request={} organisation={} service={} target={} "
@@ -301,7 +302,7 @@
             job.service.name,
             job.attempt.target if job.attempt is not None else "",
             action.reason.value,
-            action.mark.value,
+            action.run_status.value,
             action.attempts,
             action.position,
             job.charged_tokens,
@@ -333,9 +334,9 @@
             422,
             _POISON_CODE,
             "targets were lost while they ran this request; it is not run again",
-            action.mark,
+            action.run_status,
         )
     code = action.reason.value.replace("-", "_")
     retry_after_s = action.retry_after_s
     message = action.message or action.reason.value
-    return Refusal(action.status, code, message, action.mark, retry_after_s)
+    return Refusal(action.status, code, message, action.run_status, retry_after_s)
--- a/berylnotch/standins/demo.py
+++ b/berylnotch/standins/demo.py
@@ -17,7 +17,7 @@
 from berylnotch.standins.caller import CallerClient
 from berylnotch.standins.fleet import OPERATOR, ConditionError, LocalFleet, wait_for
 from berylnotch.standins.process import ChildError
-from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
+from berylnotch.standins.texts import DOMAINS, SmallFleet, small_fleet_text
 from berylnotch.transport.identity import OPERATOR_PREFIX, identity_key
 
 _KEY_PATTERN = re.compile(r"bn-[0-9a-f]{12}-[A-Za-z0-9_-]+")
@@ -51,7 +51,7 @@
 def _run_demo(fleet: LocalFleet) -> None:
     small_fleet = _start_fleet(fleet)
     configuration_file = fleet.folder / "fleet.ini"
-    configuration_file.write_text(small_text(small_fleet), encoding="utf-8")
+    configuration_file.write_text(small_fleet_text(small_fleet), encoding="utf-8")
     operator_tool = _OperatorTool(fleet)
     operator_tool.run("check", str(configuration_file))
     operator_tool.run("apply", str(configuration_file), "--base", "0")
--- a/berylnotch/standins/texts.py
+++ b/berylnotch/standins/texts.py
@@ -29,7 +29,7 @@
     extra: str = ""
 
 
-def small_text(fleet: SmallFleet) -> str:
+def small_fleet_text(fleet: SmallFleet) -> str:
     """Return a configuration text with one language service and one plain service."""
     sections = [
         "[fleet]\nregion = bengal-east\n"
--- a/berylnotch/streams/actions.py
+++ b/berylnotch/streams/actions.py
@@ -7,7 +7,7 @@
 from attrs import define, frozen
 
 
-class RunMark(Enum):
+class RunStatus(Enum):
     """Whether a target ran a request, as reported to the caller."""
 
     RAN = "ran"
@@ -131,7 +131,7 @@
         HTTP status.
     headers : tuple of Header
         Header fields of the target's response that are passed to callers.
-    mark : RunMark
+    run_status : RunStatus
         Whether a target ran the request.
     content_length : int or None
         Length of the body in bytes; None for a stream of events.
@@ -139,7 +139,7 @@
 
     status: int
     headers: tuple[Header, ...]
-    mark: RunMark
+    run_status: RunStatus
     content_length: int | None
 
 
@@ -168,7 +168,7 @@
 
     Attributes
     ----------
-    mark : RunMark
+    run_status : RunStatus
         Whether a target ran the request.
     reason : FinishReason
         Why the exchange ended.
@@ -186,7 +186,7 @@
         Whether the caller's connection can be used for another request.
     """
 
-    mark: RunMark
+    run_status: RunStatus
     reason: FinishReason
     message: str = ""
     status: int = 0
--- a/berylnotch/streams/answers.py
+++ b/berylnotch/streams/answers.py
@@ -4,7 +4,7 @@
 
 from attrs import frozen
 
-from berylnotch.streams.actions import RunMark, SendBytes, SendHead
+from berylnotch.streams.actions import RunStatus, SendBytes, SendHead
 from berylnotch.streams.inputs import ExchangeSettings, ResponseHead
 from berylnotch.streams.scanner import EventScanner
 from berylnotch.streams.sequence import EventSequence, NumberedEvents
@@ -83,8 +83,10 @@
     head: ResponseHead
     body: bytes
 
-    def delivery_actions(self, mark: RunMark) -> tuple[SendHead | SendBytes, ...]:
+    def delivery_actions(
+        self, run_status: RunStatus
+    ) -> tuple[SendHead | SendBytes, ...]:
         """Return the actions that send the response to the caller."""
         head = self.head
-        send_head = SendHead(head.status, head.headers, mark, len(self.body))
+        send_head = SendHead(head.status, head.headers, run_status, len(self.body))
         return (send_head, SendBytes(self.body, 0)) if self.body else (send_head,)
--- a/berylnotch/streams/exchange.py
+++ b/berylnotch/streams/exchange.py
@@ -13,7 +13,7 @@
     FinishReason,
     PauseUpstream,
     ResumeUpstream,
-    RunMark,
+    RunStatus,
     SendBytes,
     SendHead,
     StartAttempt,
@@ -99,15 +99,15 @@
         return self._sequence.position
 
     @property
-    def mark(self) -> RunMark:
+    def run_status(self) -> RunStatus:
         """Whether a target ran the request, according to the inputs so far."""
         if self._has_run:
-            return RunMark.RAN
+            return RunStatus.RAN
         attempt = self._attempt
         may_have_run = self._tracker.may_have_run or (
             attempt is not None and attempt.is_started
         )
-        return RunMark.UNKNOWN if may_have_run else RunMark.NOT_RUN
+        return RunStatus.UNKNOWN if may_have_run else RunStatus.NOT_RUN
 
     @property
     def buffered_bytes(self) -> int:
@@ -132,7 +132,7 @@
             self._last_activity_time = now
         return _NO_ACTIONS
 
-    def no_target(
+    def on_no_target(
         self, now: float, number: int, message: str, retry_after_s: float = 0.0
     ) -> tuple[Action, ...]:
         """End the exchange because no target is available for the attempt.
@@ -151,7 +151,9 @@
             finish_reason_without_target(self._tracker.last_cause), message
         )
 
-    def head(self, now: float, number: int, head: ResponseHead) -> tuple[Action, ...]:
+    def on_response_head(
+        self, now: float, number: int, head: ResponseHead
+    ) -> tuple[Action, ...]:
         """Process the head of an attempt's response."""
         attempt = self._current_attempt(number)
         if attempt is None:
@@ -170,7 +172,9 @@
             attempt.response = BufferedResponse(self._settings, head)
         return _NO_ACTIONS
 
-    def body(self, now: float, number: int, data: bytes) -> tuple[Action, ...]:
+    def on_response_chunk(
+        self, now: float, number: int, data: bytes
+    ) -> tuple[Action, ...]:
         """Process a chunk of the body of an attempt's response."""
         attempt = self._attempt
         if attempt is None or attempt.number != number:
@@ -184,7 +188,7 @@
             return self._fail_attempt(now, FailureCause.TOO_LARGE)
         return _NO_ACTIONS
 
-    def upstream_end(
+    def on_transfer_end(
         self, now: float, number: int, end: UpstreamEnd
     ) -> tuple[Action, ...]:
         """Process the end of an attempt's transfer."""
@@ -196,11 +200,11 @@
             return _NO_ACTIONS
         return self._on_transfer_end(now, attempt, end)
 
-    def caller_gone(self, now: float) -> tuple[Action, ...]:
+    def on_caller_disconnected(self, now: float) -> tuple[Action, ...]:
         """End the exchange because the caller closed its connection."""
         return self._cancel(FinishReason.CALLER_GONE, "caller closed the connection")
 
-    def key_withdrawn(self, now: float) -> tuple[Action, ...]:
+    def on_key_withdrawn(self, now: float) -> tuple[Action, ...]:
         """End the exchange because the caller's key was withdrawn."""
         return self._cancel(FinishReason.KEY_WITHDRAWN, "key was withdrawn")
 
@@ -312,7 +316,7 @@
             self._weights = self._weights or attempt.response_weights
             self._is_head_sent = True
             self._has_run = True
-            actions.append(SendHead(head.status, head.headers, RunMark.RAN, None))
+            actions.append(SendHead(head.status, head.headers, RunStatus.RAN, None))
         if not attempt.response.is_ended:
             return (*actions, SendBytes(data, events))
         finish = self._build_finish(FinishReason.COMPLETE)
@@ -344,7 +348,7 @@
             self._has_run or response.head.status not in RUN_UNKNOWN_STATUSES
         )
         self._is_head_sent = True
-        send_actions = response.delivery_actions(self.mark)
+        send_actions = response.delivery_actions(self.run_status)
         return (*send_actions, self._build_finish(FinishReason.COMPLETE))
 
     def _hold_chunk(
@@ -364,7 +368,7 @@
     def _deliver_held_chunks(self, now: float, attempt: Attempt) -> tuple[Action, ...]:
         actions: list[Action] = []
         for data in attempt.drain_held_chunks():
-            actions.extend(self.body(now, attempt.number, data))
+            actions.extend(self.on_response_chunk(now, attempt.number, data))
         if self._attempt is attempt and attempt.held_end is not None:
             actions.extend(self._on_transfer_end(now, attempt, attempt.held_end))
         elif self._attempt is attempt and self._request.stream:
@@ -411,14 +415,14 @@
         return (finish,)
 
     def _build_finish(self, reason: FinishReason, message: str = "") -> Finish:
-        # Read the mark before the attempt is cleared, because the mark depends on
-        # whether the attempt may have run.
-        mark = self.mark
+        # Read the run status before the attempt is cleared, because the run status
+        # depends on whether the attempt may have run.
+        run_status = self.run_status
         self._attempt = None
         self._is_finished = True
         is_complete = reason is FinishReason.COMPLETE
         return Finish(
-            mark=mark,
+            run_status=run_status,
             reason=reason,
             message=message,
             status=0 if self._is_head_sent else REFUSAL_STATUSES[reason],
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -30,15 +30,15 @@
         report = Soak(seed, args.seconds, args.routers, args.controllers).run()
         recovered_ms = report.faults.pop("recovered_ms", -1)
         faults.update(report.faults)
-        outcome = "broken" if report.breaks else "kept"
+        outcome = "broken" if report.violations else "kept"
         print(
             f"seed={seed} outcome={outcome} answers={report.answers} "
             f"served={report.served} recovered_ms={recovered_ms}",
             flush=True,
         )
-        for violation in report.breaks[:10]:
+        for violation in report.violations[:10]:
             print(f"  {violation}; logs in {report.folder}", flush=True)
-        if report.breaks:
+        if report.violations:
             failed.append(seed)
     print(f"faults {dict(faults)}; failed seeds {failed or 'none'}")
     return 1 if failed else 0
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -15,7 +15,7 @@
     """Answers to callers and operators, and the violated guarantees.
 
     ``refused`` holds the requests with an answer of status 429 or 503, ``booked`` the
-    sent booking requests, and ``breaks`` a message for each violation.
+    sent booking requests, and ``violations`` a message for each violation.
     """
 
     answers: int = 0
@@ -23,7 +23,7 @@
     refused: set[str] = field(factory=set)
     booked: set[str] = field(factory=set)
     acked_version: int = 0
-    breaks: list[str] = field(factory=list)
+    violations: list[str] = field(factory=list)
     _lock: threading.Lock = field(factory=threading.Lock)
 
     def record_caller_answer(
@@ -82,7 +82,7 @@
 
     def record_violation(self, violation: str) -> None:
         """Record the violation of a guarantee."""
-        self.breaks.append(violation)
+        self.violations.append(violation)
 
     def _check_body(self, request_id: str, kind: str, body: bytes) -> None:
         if kind == "chat":
@@ -91,8 +91,8 @@
                 b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, count + 1)
             ]
             if body != b"".join(expected_events) or count == 0:
-                self.breaks.append(
+                self.violations.append(
                     f"{request_id}: stream has missing, repeated or reordered events"
                 )
         elif body != b"answer to " + request_id.encode():
-            self.breaks.append(f"{request_id}: got {body[:60]!r}")
+            self.violations.append(f"{request_id}: got {body[:60]!r}")
--- a/soak/run.py
+++ b/soak/run.py
@@ -45,7 +45,7 @@
     answers: int
     served: int
     faults: Counter = field(factory=Counter)
-    breaks: list[str] = field(factory=list)
+    violations: list[str] = field(factory=list)
     folder: Path | None = None
 
 
@@ -329,10 +329,10 @@
             self._observations.answers,
             self._observations.served,
         )
-        report.breaks = list(self._observations.breaks)
+        report.violations = list(self._observations.violations)
         if report.served == 0:
-            report.breaks.append("no request was served")
-        if not report.breaks:
+            report.violations.append("no request was served")
+        if not report.violations:
             shutil.rmtree(self._folder, ignore_errors=True)
             report.folder = None
         return report
--- a/tests/fleet/platform.py
+++ b/tests/fleet/platform.py
@@ -296,14 +296,14 @@
             if connection.is_closed or target.streams.get(request_id) is not stream:
                 return
             if target.fault == "cut" and number == after + 3:
-                connection.send_piece(b"id: %d\nda" % number)
+                connection.send_chunk(b"id: %d\nda" % number)
                 connection.abort()
                 return
             if number > target.events:
                 del target.streams[request_id]
                 connection.end_stream()
                 return
-            connection.send_piece(b"id: %d\ndata: piece %d\n\n" % (number, number))
+            connection.send_chunk(b"id: %d\ndata: piece %d\n\n" % (number, number))
             stream[1] = number + 1
             self.loop.call_later(target.event_pause_s, lambda: send(number + 1))
 
--- a/tests/test_admission/test_retry.py
+++ b/tests/test_admission/test_retry.py
@@ -12,7 +12,7 @@
     RetrySettings,
     decide_retry,
 )
-from berylnotch.streams.actions import RunMark
+from berylnotch.streams.actions import RunStatus
 
 SETTINGS = RetrySettings()
 
@@ -20,25 +20,25 @@
 @given(
     number=st.integers(1, 5),
     is_idempotent=st.booleans(),
-    mark=st.sampled_from(RunMark),
+    run_status=st.sampled_from(RunStatus),
     remaining_s=st.floats(-1, 3),
     has_budget=st.booleans(),
 )
 def test_a_retry_is_always_safe_and_in_time(
-    number, is_idempotent, mark, remaining_s, has_budget
+    number, is_idempotent, run_status, remaining_s, has_budget
 ):
     attempt = FailedAttempt(
-        number, is_idempotent, mark, deadline=remaining_s, expected_s=1.0
+        number, is_idempotent, run_status, deadline=remaining_s, expected_s=1.0
     )
     decision = decide_retry(SETTINGS, 0.0, attempt, has_budget)
     if decision is RetryDecision.RETRY:
-        assert is_idempotent or mark is RunMark.NOT_RUN
-        assert mark is not RunMark.RAN
+        assert is_idempotent or run_status is RunStatus.NOT_RUN
+        assert run_status is not RunStatus.RAN
         assert number < SETTINGS.max_attempts and remaining_s > 1.0 and has_budget
 
 
 def test_idempotent_request_of_unknown_outcome_is_repeated():
-    attempt = FailedAttempt(1, True, RunMark.UNKNOWN, deadline=5.0)
+    attempt = FailedAttempt(1, True, RunStatus.UNKNOWN, deadline=5.0)
     assert decide_retry(SETTINGS, 0.0, attempt, True) is RetryDecision.RETRY
 
 
--- a/tests/test_cmd/test_real.py
+++ b/tests/test_cmd/test_real.py
@@ -10,7 +10,7 @@
 from berylnotch.cmd.tool import main
 from berylnotch.standins.caller import CallerClient
 from berylnotch.standins.fleet import LocalFleet, wait_for
-from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
+from berylnotch.standins.texts import DOMAINS, SmallFleet, small_fleet_text
 from berylnotch.transport.identity import identity_key
 
 
@@ -58,7 +58,7 @@
             lambda: fleet.start_router("entry-1", DOMAINS[0]),
         ]
     )
-    text = small_text(
+    text = small_fleet_text(
         SmallFleet(
             routers=(("entry-1", router.address),),
             engines=(("sake-1-a", "127.0.0.1:9"),),
--- a/tests/test_daemon/conftest.py
+++ b/tests/test_daemon/conftest.py
@@ -8,7 +8,7 @@
 from berylnotch.keys.keyring import GeneratedKey
 from berylnotch.standins.caller import CallerClient
 from berylnotch.standins.fleet import LocalFleet, wait_for
-from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
+from berylnotch.standins.texts import DOMAINS, SmallFleet, small_fleet_text
 from tests.fleet.platform import PlatformStandIn
 from tests.fleet.processes import FleetOfProcesses
 
@@ -48,7 +48,7 @@
         plain=(("order-1", order),),
         **settings,
     )
-    assert fleet.apply(small_text(started), 0).revision == 1
+    assert fleet.apply(small_fleet_text(started), 0).revision == 1
     return started
 
 
--- a/tests/test_daemon/test_controllers.py
+++ b/tests/test_daemon/test_controllers.py
@@ -26,14 +26,14 @@
 from berylnotch.errors import TransportError
 from berylnotch.standins.fleet import wait_for
 from berylnotch.standins.process import ChildError
-from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
+from berylnotch.standins.texts import DOMAINS, SmallFleet, small_fleet_text
 from berylnotch.transport.codec import encode
 
 NAMES = ("c1", "c2", "c3")
 
 
 def configuration_text(number):
-    return small_text(
+    return small_fleet_text(
         SmallFleet((("entry-1", f"127.0.0.1:{number}"),), (), (), rate=1000 + number)
     )
 
--- a/tests/test_daemon/test_new_group.py
+++ b/tests/test_daemon/test_new_group.py
@@ -6,7 +6,7 @@
 
 from berylnotch.standins.caller import CallerClient
 from berylnotch.standins.fleet import wait_for
-from berylnotch.standins.texts import DOMAINS, small_text
+from berylnotch.standins.texts import DOMAINS, small_fleet_text
 from tests.test_daemon.conftest import callers_at, start_small
 
 NAMES = ("c1", "c2", "c3")
@@ -24,7 +24,7 @@
         fleet.data_folder(name).rename(fleet.folder / f"{name}-given-up")
     fleet.start_all([lambda name=name: fleet.restart(name) for name in NAMES])
     fleet.bootstrap(NAMES)
-    assert fleet.apply(small_text(small), 0).revision == 1
+    assert fleet.apply(small_fleet_text(small), 0).revision == 1
     key = fleet.give_key("importer-desk")
     caller_of_new = CallerClient(small.routers[0][1], key.key)
     deadline = time.monotonic() + _CHANGE_S
--- a/tests/test_daemon/test_order_lease.py
+++ b/tests/test_daemon/test_order_lease.py
@@ -57,19 +57,19 @@
 
 def test_first_leader_acquires_the_lease_at_once(group, clock):
     lease, acquired = group.lead("c1")
-    lease.ask()
+    lease.request()
     assert acquired == [clock.now] and lease.is_held
     assert group.state.order_holder == "c1"
 
 
 def test_new_leader_waits_for_the_orders_of_its_predecessor(group, clock):
     first, _ = group.lead("c1")
-    first.ask()
+    first.request()
     first.on_load_started()
     first.close()
     began_at = clock.now
     second, acquired = group.lead("c2")
-    second.ask()
+    second.request()
     clock.advance(LEASE_S)
     assert acquired == [] and not second.is_held
     clock.advance(1.0)
@@ -78,17 +78,17 @@
 
 def test_time_before_the_first_request_counts_towards_the_wait(group, clock):
     first, _ = group.lead("c1")
-    first.ask()
+    first.request()
     first.close()
     second, acquired = group.lead("c2")
     clock.advance(LEASE_S + 1)
-    second.ask()
+    second.request()
     assert acquired == [clock.now]
 
 
 def test_lease_is_released_after_idle_time_and_needs_no_wait(group, clock):
     first, _ = group.lead("c1")
-    first.ask()
+    first.request()
     first.on_load_started()
     clock.advance(10)
     first.on_load_ended()
@@ -99,23 +99,23 @@
     assert not first.is_held and group.state.order_holder == ""
     assert clock.now - ended_at > LEASE_S
     second, acquired = group.lead("c2")
-    second.ask()
+    second.request()
     assert acquired == [clock.now]
 
 
 def test_released_lease_is_acquired_again_before_the_next_order(group, clock):
     lease, acquired = group.lead("c1")
-    lease.ask()
+    lease.request()
     clock.advance(LEASE_S + 1)
     assert not lease.is_held
-    lease.ask()
+    lease.request()
     assert lease.is_held and len(acquired) == 2
     assert group.state.order_holder == "c1"
 
 
 def test_each_order_restarts_the_idle_time(group, clock):
     lease, _ = group.lead("c1")
-    lease.ask()
+    lease.request()
     for _ in range(4):
         clock.advance(LEASE_S - 0.5)
         lease.on_load_started()
@@ -125,13 +125,13 @@
 
 def test_new_leader_waits_if_the_release_was_not_committed(group, clock):
     first, _ = group.lead("c1")
-    first.ask()
+    first.request()
     group.can_commit = False
     clock.advance(LEASE_S + 1)
     assert not first.is_held and group.state.order_holder == "c1"
     group.can_commit = True
     second, acquired = group.lead("c2")
-    second.ask()
+    second.request()
     assert acquired == []
     clock.advance(LEASE_S + 1)
     assert len(acquired) == 1
@@ -140,7 +140,7 @@
 def test_acquisition_is_retried(group, clock):
     lease, acquired = group.lead("c1")
     group.can_commit = False
-    lease.ask()
+    lease.request()
     assert not lease.is_held
     group.can_commit = True
     clock.advance(1.0)
@@ -149,9 +149,9 @@
 
 def test_former_leader_does_not_acquire_the_lease(group, clock):
     first, _ = group.lead("c1")
-    first.ask()
+    first.request()
     second, acquired = group.lead("c2")
-    second.ask()
+    second.request()
     second.close()
     clock.advance(LEASE_S + 1)
     assert acquired == [] and not second.is_held
--- a/tests/test_daemon/test_orders.py
+++ b/tests/test_daemon/test_orders.py
@@ -12,7 +12,7 @@
 from berylnotch.control.protocol import StatusRequest
 from berylnotch.standins.caller import CallerClient
 from berylnotch.standins.fleet import OPERATOR, wait_for
-from berylnotch.standins.texts import DOMAINS, SmallFleet, small_text
+from berylnotch.standins.texts import DOMAINS, SmallFleet, small_fleet_text
 from tests.test_daemon.conftest import callers_at
 
 
@@ -31,7 +31,7 @@
     )
     router = fleet.start_router("entry-1", DOMAINS[0])
     small_fleet = SmallFleet((("entry-1", router.address),), engines, ())
-    text = small_text(small_fleet).replace(
+    text = small_fleet_text(small_fleet).replace(
         "[fleet]\n", "[fleet]\nweight-loads = 600 loads/min\n"
     )
     assert fleet.apply(text, 0).revision == 1
--- a/tests/test_daemon/test_partition.py
+++ b/tests/test_daemon/test_partition.py
@@ -12,14 +12,14 @@
 from berylnotch.errors import TransportError
 from berylnotch.standins.fleet import wait_for
 from berylnotch.standins.link import Link
-from berylnotch.standins.texts import SmallFleet, small_text
+from berylnotch.standins.texts import SmallFleet, small_fleet_text
 from berylnotch.util.loop import Loop
 
 HOSTS = {"c1": "127.0.0.11", "c2": "127.0.0.12", "c3": "127.0.0.13"}
 
 
 def configuration_text(number):
-    return small_text(
+    return small_fleet_text(
         SmallFleet((("entry-1", "127.0.0.1:8001"),), (), (), rate=1000 + number)
     )
 
--- a/tests/test_daemon/test_routers.py
+++ b/tests/test_daemon/test_routers.py
@@ -15,7 +15,7 @@
 from berylnotch.control.state import ControlState
 from berylnotch.daemon.controller.routers import LOST_AFTER_S, SOURCE, RouterHeartbeats
 from berylnotch.quota.messages import GrantRequest
-from berylnotch.standins.texts import SmallFleet, small_text
+from berylnotch.standins.texts import SmallFleet, small_fleet_text
 from berylnotch.transport.codec import encode
 
 START = 100.0
@@ -28,7 +28,7 @@
 @pytest.fixture
 def state():
     state = ControlState()
-    text = small_text(SmallFleet((("entry-1", "127.0.0.1:1"),), (), ()))
+    text = small_fleet_text(SmallFleet((("entry-1", "127.0.0.1:1"),), (), ()))
     state.apply(1, Proposal(1, encode(ApplyText("a", "asha", 0, text))))
     return state
 
--- a/tests/test_entry/support.py
+++ b/tests/test_entry/support.py
@@ -83,7 +83,7 @@
 class Connection:
     """Fake connection of a caller that records its responses."""
 
-    on_gone = on_drained = None
+    on_disconnected = on_drained = None
     is_congested = False
 
     def __init__(self):
--- a/tests/test_entry/test_exchange.py
+++ b/tests/test_entry/test_exchange.py
@@ -16,7 +16,7 @@
     _, connection, ended = make_exchange(context)
     target = context.targets.get("e")
     assert target.in_flight == 1 and target.unread == 3000
-    connection.on_gone()
+    connection.on_disconnected()
     assert len(ended) == 1
     assert target.in_flight == 0 and target.unread == 0
     assert context.crashes._running == {}
--- a/tests/test_entry/test_failures.py
+++ b/tests/test_entry/test_failures.py
@@ -52,7 +52,7 @@
 class Caller:
     """Fake connection of a caller that records its response and signals the end."""
 
-    on_gone = on_drained = None
+    on_disconnected = on_drained = None
     is_congested = False
 
     def __init__(self):
@@ -66,7 +66,7 @@
     def start_stream(self, status, headers):
         self.status = status
 
-    def send_piece(self, data):
+    def send_chunk(self, data):
         self.body += data
 
     def end_stream(self):
--- a/tests/test_entry/test_migration.py
+++ b/tests/test_entry/test_migration.py
@@ -103,7 +103,7 @@
             lambda moved, is_sure: ends.append((moved, is_sure)),
         )
         if on_stream_end is not None:
-            move.hold(on_stream_end)
+            move.defer_stream_end(on_stream_end)
         move.start()
         while timers:
             timers.pop(0)[1]()
@@ -166,7 +166,7 @@
     run_move, ends = move(
         Engine(COPY, STOPPED), on_stream_end=lambda: handled.append(1)
     )
-    assert len(ends) == 1 and handled == [] and run_move.stream_end is not None
+    assert len(ends) == 1 and handled == [] and run_move.on_stream_end is not None
 
 
 def test_copies_are_freed_after_the_request_has_ended(move):
--- a/tests/test_entry/test_reply.py
+++ b/tests/test_entry/test_reply.py
@@ -15,7 +15,7 @@
     def start_stream(self, status, headers):
         self.received.append(("head", status))
 
-    def send_piece(self, data):
+    def send_chunk(self, data):
         self.received.append(data)
 
     def end_stream(self):
--- a/tests/test_entry/test_startup_buffer.py
+++ b/tests/test_entry/test_startup_buffer.py
@@ -22,7 +22,7 @@
     """Fake connection of a caller."""
 
     def __init__(self, request_id):
-        self.request_id, self.on_gone = request_id, None
+        self.request_id, self.on_disconnected = request_id, None
 
 
 @pytest.fixture
@@ -78,7 +78,7 @@
 
 def test_request_of_a_disconnected_caller_is_discarded(requests, clock, released):
     caller, _ = send_request(requests, clock, "gone")
-    caller.on_gone()
+    caller.on_disconnected()
     requests.release_all()
     clock.advance(5)
     assert released == []
--- a/tests/test_gateways/test_answers.py
+++ b/tests/test_gateways/test_answers.py
@@ -8,7 +8,11 @@
 
 from berylnotch.errors import GatewayError
 from berylnotch.gateways.cache_events import CacheEventKind, read_cache_events
-from berylnotch.gateways.errors import BadAnswerError, BusyError, OldFenceError
+from berylnotch.gateways.errors import (
+    BusyError,
+    InvalidResponseError,
+    StaleFencingTokenError,
+)
 from berylnotch.gateways.kvstore import read_lookup
 from berylnotch.gateways.load import TargetLoad, read_load, to_report
 from berylnotch.gateways.orders import OrderAnswer, read_order_answer
@@ -50,7 +54,7 @@
 @pytest.mark.parametrize("read", READERS)
 @pytest.mark.parametrize("body", [b"", b"{", b"\xff", b"[" * 100_000])
 def test_malformed_json_is_rejected(read, body):
-    with pytest.raises(BadAnswerError):
+    with pytest.raises(InvalidResponseError):
         read(200, body)
 
 
@@ -75,14 +79,14 @@
     ]
     assert decoded.events[1].block == b"\x0b"
     answer["events"] = events[::-1]
-    with pytest.raises(BadAnswerError):
+    with pytest.raises(InvalidResponseError):
         read_cache_events(200, json.dumps(answer).encode())
 
 
 def test_order_answers():
     answer = read_order_answer(200, b'{"version": "v2", "fence": 7}')
     assert answer == OrderAnswer("v2", 7)
-    with pytest.raises(OldFenceError):
+    with pytest.raises(StaleFencingTokenError):
         read_order_answer(409, b"{}")
 
 
@@ -103,5 +107,5 @@
 def test_stored_cache_of_other_weights_is_not_imported(weights, pieces):
     body = json.dumps({"pieces": 3, "weights": weights}).encode()
     assert read_lookup(200, body, "v1", 4) == pieces
-    with pytest.raises(BadAnswerError):
+    with pytest.raises(InvalidResponseError):
         read_lookup(200, body, "v1", 2)
--- a/tests/test_gateways/test_requests.py
+++ b/tests/test_gateways/test_requests.py
@@ -12,7 +12,7 @@
     is_whole_answer,
     read_engine_head,
 )
-from berylnotch.gateways.errors import BadAnswerError, ForbiddenRequestError
+from berylnotch.gateways.errors import ForbiddenRequestError, InvalidResponseError
 from berylnotch.gateways.plain import (
     ALLOWED_HEADERS,
     PlainRequest,
@@ -160,7 +160,7 @@
 def test_arbitrary_head_is_decoded_or_rejected(lines):
     try:
         read_plain_head(lines)
-    except BadAnswerError:
+    except InvalidResponseError:
         pass
 
 
--- a/tests/test_membership/test_targets.py
+++ b/tests/test_membership/test_targets.py
@@ -63,7 +63,7 @@
     health: TargetHealth, now: float, name: str, count: int = 3
 ) -> None:
     for _ in range(count):
-        health.finish(now, health.begin(now, name, 0.1), False)
+        health.record_end(now, health.record_sent(now, name, 0.1), False)
 
 
 def test_live_in_the_list_does_not_override_the_targets_leaving_signal(health, view):
@@ -94,23 +94,23 @@
 
 
 def test_one_successful_probe_ends_an_ejection(health, view):
-    old = health.begin(0.0, "engine-0", 0.1)
+    old = health.record_sent(0.0, "engine-0", 0.1)
     record_failures(health, 1.0, "engine-0")
-    health.finish(1.5, old, True)
+    health.record_end(1.5, old, True)
     assert "engine-0" not in usable_names(health, view, 2.9)
     assert "engine-0" in usable_names(health, view, 3.1)
-    probe = health.begin(3.1, "engine-0", 0.1)
+    probe = health.record_sent(3.1, "engine-0", 0.1)
     assert "engine-0" not in usable_names(health, view, 3.2)
-    health.finish(3.3, probe, False)
+    health.record_end(3.3, probe, False)
     assert "engine-0" not in usable_names(health, view, 7.2)
-    probe = health.begin(7.4, "engine-0", 0.1)
-    health.finish(7.5, probe, True)
+    probe = health.record_sent(7.4, "engine-0", 0.1)
+    health.record_end(7.5, probe, True)
     assert "engine-0" in usable_names(health, view, 7.5)
 
 
 def test_abandoned_probe_allows_another_probe(health, view):
     record_failures(health, 0.0, "engine-0")
-    health.abandon(health.begin(3.0, "engine-0", 0.1))
+    health.record_abandoned(health.record_sent(3.0, "engine-0", 0.1))
     assert "engine-0" in usable_names(health, view, 3.1)
 
 
@@ -137,14 +137,14 @@
 
 
 def test_wait_is_the_aged_report_plus_own_requests_sent_since(health, view):
-    before = health.begin(9.0, "engine-0", 0.5)
+    before = health.record_sent(9.0, "engine-0", 0.5)
     health.report("engine-0", LoadReport("a", 10.0, 2.0))
-    since = health.begin(10.5, "engine-0", 0.25)
+    since = health.record_sent(10.5, "engine-0", 0.25)
     assert queue_wait_s(health, view, 11.0) == pytest.approx(1.25)
     health.first_token(since)
     assert queue_wait_s(health, view, 11.0) == pytest.approx(1.0)
     assert queue_wait_s(health, view, 30.0) == pytest.approx(0.5)
-    health.finish(30.0, before, True)
+    health.record_end(30.0, before, True)
     assert queue_wait_s(health, view, 30.0) == 0.0
 
 
--- a/tests/test_net/test_server.py
+++ b/tests/test_net/test_server.py
@@ -118,7 +118,7 @@
     disconnect_times = []
 
     def hold_request(harness, connection, _request):
-        connection.on_gone = lambda: disconnect_times.append(time.monotonic())
+        connection.on_disconnected = lambda: disconnect_times.append(time.monotonic())
 
     harness = Harness(hold_request)
     sock = harness.connect()
@@ -138,7 +138,7 @@
         from berylnotch.net.messages import Headers
 
         connection.start_stream(200, Headers())
-        connection.send_piece(b"part")
+        connection.send_chunk(b"part")
         harness.loop.call_later(0.05, connection.abort)
 
     harness = Harness(abort_stream)
@@ -171,9 +171,9 @@
         sock = harness.connect()
         sock.sendall(GET)
         deadline = time.monotonic() + 5
-        while not harness.run(lambda: harness.server.busy_count):
+        while not harness.run(lambda: harness.server.active_connection_count):
             assert time.monotonic() < deadline
-        while harness.run(lambda: harness.server.busy_count):
+        while harness.run(lambda: harness.server.active_connection_count):
             assert time.monotonic() < deadline
             time.sleep(0.05)
         sock.close()
--- a/tests/test_placement/test_placer.py
+++ b/tests/test_placement/test_placer.py
@@ -37,7 +37,7 @@
     placer: Placer, placement_request: PlacementRequest, engines=ENGINES
 ) -> dict[str, int]:
     return {
-        r.name: r.cached_pieces for r in placer.rank(1.0, placement_request, engines)
+        r.name: r.cached_blocks for r in placer.rank(1.0, placement_request, engines)
     }
 
 
@@ -91,7 +91,7 @@
     home = placer.rank(1.0, placement_request, ENGINES)[0].name
     busy = [evolve(c, queue_wait_s=60.0 * (c.name == home)) for c in ENGINES]
     second = placer.rank(1.0, placement_request, busy)[0]
-    placer.sent(1.0, placement_request, second)
+    placer.record_sent(1.0, placement_request, second)
     slow = [evolve(c, queue_wait_s=1.0 * (c.name == home)) for c in ENGINES]
     assert placer.rank(1.5, placement_request, slow)[0].name == second.name
 
@@ -128,7 +128,7 @@
     placement_request = request(b"h" * 2 * BLOCK_BYTES)
     chosen = placer.rank(0.0, placement_request, ENGINES)[0]
     for step in range(400):
-        placer.sent(step / 50.0, placement_request, chosen)
+        placer.record_sent(step / 50.0, placement_request, chosen)
     shortlists = {
         placer.shortlist(8.0, placement_request, SERVICE, NAMES) for _ in range(50)
     }
--- a/tests/test_placement/test_rank.py
+++ b/tests/test_placement/test_rank.py
@@ -91,7 +91,7 @@
         settings, request_query, CANDIDATES, cache_hints(8, "store", request_query)
     )[0]
     assert best.import_from == source
-    assert best.import_pieces == (8 if source else 0)
+    assert best.import_blocks == (8 if source else 0)
 
 
 def test_short_import_costs_more_than_computing():
--- a/tests/test_platform/test_configuration.py
+++ b/tests/test_platform/test_configuration.py
@@ -28,8 +28,8 @@
     decoded = decode_configuration(encode(configuration(3)))
     chat, book, _ = decoded.routes
     assert decoded.version == 3
-    assert chat.kind is RouteKind.STREAM and chat.is_resumable and chat.is_repeatable
-    assert book.kind is RouteKind.NON_IDEMPOTENT and not book.is_repeatable
+    assert chat.kind is RouteKind.STREAM and chat.is_resumable and chat.is_retryable
+    assert book.kind is RouteKind.NON_IDEMPOTENT and not book.is_retryable
     assert book.splits == (Split("desk", 1.0),)
     assert chat.timeout_s == 5.0 and chat.max_gap_s == 0.25
     assert decoded.services[0].engine.models == ("model-1",)
--- a/tests/test_server/test_attempts.py
+++ b/tests/test_server/test_attempts.py
@@ -48,7 +48,7 @@
     return SimpleNamespace(
         view=FakeView(),
         health=TargetHealth(MembershipSettings()),
-        guard=CrashGuard(MembershipSettings()),
+        crash_guard=CrashGuard(MembershipSettings()),
         placer=Placer(placement),
         settings=SimpleNamespace(placement=placement, failure_domain="howrah"),
         decisions=SimpleNamespace(record=lambda reply: None),
@@ -69,9 +69,9 @@
 def test_suspect_gets_target_if_other_suspects_run_on_all(context):
     jobs = [make_job(bytes([i])) for i in range(3)]
     now = time.monotonic()
-    context.guard.on_target_lost(now, "desk-2", [job.fingerprint for job in jobs])
+    context.crash_guard.on_target_lost(now, "desk-2", [job.fingerprint for job in jobs])
     for job, name in zip(jobs, NAMES, strict=False):
-        context.guard.on_request_started(job.fingerprint, name)
+        context.crash_guard.on_request_started(job.fingerprint, name)
     action = SimpleNamespace(exclude=frozenset({"desk-2"}), weights="")
-    assert context.guard.targets_to_avoid(now, jobs[2].fingerprint) == set(NAMES)
+    assert context.crash_guard.targets_to_avoid(now, jobs[2].fingerprint) == set(NAMES)
     assert TargetSelector(context).choose(jobs[2], action) is not None
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,5 +15,5 @@
 @pytest.mark.parametrize("seed", [1, *FAILED_SEEDS])
 def test_promises_hold_under_faults(seed):
     report = Soak(seed, seconds=4.0).run()
-    assert report.breaks == [], f"logs in {report.folder}"
+    assert report.violations == [], f"logs in {report.folder}"
     assert report.served > 0
--- a/tests/test_streams/fakes.py
+++ b/tests/test_streams/fakes.py
@@ -107,31 +107,37 @@
     def _run_attempt(self, start):
         exchange, number = self.exchange, start.number
         if not self.scripts:
-            self.perform(exchange.no_target(self.now, number, "none left"))
+            self.perform(exchange.on_no_target(self.now, number, "none left"))
             return
         script = self.scripts.pop(0)
         self.perform(exchange.attempt_started(self.now, number, f"E{number}"))
         if script.kind == "connect":
             self.perform(
-                exchange.upstream_end(self.now, number, UpstreamEnd(False, sent=False))
+                exchange.on_transfer_end(
+                    self.now, number, UpstreamEnd(False, sent=False)
+                )
             )
             return
         self.reached_targets += 1
         if script.kind == "refuse":
             self.not_run_refusals += 1
             self.perform(
-                exchange.head(self.now, number, ResponseHead(503, not_run=True))
+                exchange.on_response_head(
+                    self.now, number, ResponseHead(503, not_run=True)
+                )
             )
             return
         self.run_count += 1
         if script.kind == "lost":
-            self.perform(exchange.upstream_end(self.now, number, UpstreamEnd(False)))
+            self.perform(exchange.on_transfer_end(self.now, number, UpstreamEnd(False)))
             return
-        self.perform(exchange.head(self.now, number, self._response_head(script)))
+        self.perform(
+            exchange.on_response_head(self.now, number, self._response_head(script))
+        )
         for chunk in self._response_chunks(script, start.resume_after):
-            self.perform(exchange.body(self.now, number, chunk))
+            self.perform(exchange.on_response_chunk(self.now, number, chunk))
         end = UpstreamEnd(script.ends_cleanly or script.events > self.total)
-        self.perform(exchange.upstream_end(self.now, number, end))
+        self.perform(exchange.on_transfer_end(self.now, number, end))
 
     def _response_head(self, script):
         kind = "text/event-stream" if self.stream else "application/json"
--- a/tests/test_streams/test_exchange.py
+++ b/tests/test_streams/test_exchange.py
@@ -10,7 +10,7 @@
     FinishReason,
     PauseUpstream,
     ResumeUpstream,
-    RunMark,
+    RunStatus,
     SendBytes,
     SendHead,
     StartAttempt,
@@ -40,7 +40,7 @@
 def start_stream(exchange, number=1, weights="v1", target=None):
     exchange.attempt_started(0, number, target or f"E{number}")
     head = ResponseHead(200, (), EVENT_STREAM, REQUEST_ID, weights)
-    return exchange.head(0, number, head)
+    return exchange.on_response_head(0, number, head)
 
 
 @pytest.fixture
@@ -49,57 +49,57 @@
     exchange = make_exchange()
     exchange.start(0)
     start_stream(exchange)
-    exchange.body(0, 1, engine_event(1) + engine_event(2))
+    exchange.on_response_chunk(0, 1, engine_event(1) + engine_event(2))
     return exchange
 
 
 def test_clean_close_without_end_marker_resumes_at_another_target(running):
-    actions = running.upstream_end(1, 1, UpstreamEnd(True))
+    actions = running.on_transfer_end(1, 1, UpstreamEnd(True))
     assert single_action(actions, AttemptFailed).cause is FailureCause.TRUNCATED
     start = single_action(actions, StartAttempt)
     assert (start.resume_after, start.weights, start.exclude) == (2, "v1", {"E1"})
     start_stream(running, 2)
-    actions = running.body(2, 2, engine_event(3) + END_MARKER)
+    actions = running.on_response_chunk(2, 2, engine_event(3) + END_MARKER)
     assert single_action(actions, SendBytes).data == caller_event(3) + END_MARKER
-    assert single_action(actions, Finish).mark is RunMark.RAN
+    assert single_action(actions, Finish).run_status is RunStatus.RAN
 
 
 def test_input_of_a_replaced_attempt_is_ignored(running):
-    running.upstream_end(1, 1, UpstreamEnd(False))
-    assert running.body(1, 1, engine_event(3)) == ()
-    assert running.upstream_end(1, 1, UpstreamEnd(True)) == ()
+    running.on_transfer_end(1, 1, UpstreamEnd(False))
+    assert running.on_response_chunk(1, 1, engine_event(3)) == ()
+    assert running.on_transfer_end(1, 1, UpstreamEnd(True)) == ()
 
 
 def test_gap_cancels_attempt_and_resumes_after_last_delivered_event(running):
-    actions = running.body(1, 1, engine_event(3) + engine_event(5))
+    actions = running.on_response_chunk(1, 1, engine_event(3) + engine_event(5))
     assert single_action(actions, CancelAttempt).number == 1
     assert single_action(actions, AttemptFailed).cause is FailureCause.GAP
     assert single_action(actions, StartAttempt).resume_after == 2
 
 
 def test_other_weights_end_the_stream_with_an_error(running):
-    running.upstream_end(1, 1, UpstreamEnd(False))
+    running.on_transfer_end(1, 1, UpstreamEnd(False))
     actions = start_stream(running, 2, weights="v2")
     assert not find_actions(actions, SendBytes)
     start = single_action(
         running.tick(single_action(actions, WaitUntil).time), StartAttempt
     )
     assert start.exclude == {"E1", "E2"}
-    actions = running.no_target(1, start.number, "no engine with v1")
+    actions = running.on_no_target(1, start.number, "no engine with v1")
     finish = single_action(actions, Finish)
     assert finish.reason is FinishReason.WEIGHTS_CHANGED
-    assert finish.mark is RunMark.RAN
+    assert finish.run_status is RunStatus.RAN
     assert not finish.keep_connection
     assert b'"weights-changed"' in single_action(actions, SendBytes).data
     assert END_MARKER not in single_action(actions, SendBytes).data
 
 
 def test_stream_that_has_begun_waits_for_a_target(running):
-    actions = running.upstream_end(1, 1, UpstreamEnd(False))
+    actions = running.on_transfer_end(1, 1, UpstreamEnd(False))
     now, attempt_count = 1.0, 0
     while start := find_actions(actions, StartAttempt):
         attempt_count += 1
-        actions = running.no_target(now, start[0].number, "none", retry_after_s=1.0)
+        actions = running.on_no_target(now, start[0].number, "none", retry_after_s=1.0)
         for wait in find_actions(actions, WaitUntil):
             now = wait.time
             actions = running.tick(now)
@@ -109,15 +109,15 @@
 
 
 def test_stream_that_has_begun_resumes_when_a_target_is_available(running):
-    running.upstream_end(1, 1, UpstreamEnd(False))
-    running.no_target(1, 2, "none", retry_after_s=1.0)
+    running.on_transfer_end(1, 1, UpstreamEnd(False))
+    running.on_no_target(1, 2, "none", retry_after_s=1.0)
     actions = running.tick(running.next_tick())
     assert single_action(actions, StartAttempt).resume_after == 2
 
 
 def test_no_target_without_retry_after_ends_the_stream(running):
-    running.upstream_end(1, 1, UpstreamEnd(False))
-    actions = running.no_target(1, 2, "request crashes targets")
+    running.on_transfer_end(1, 1, UpstreamEnd(False))
+    actions = running.on_no_target(1, 2, "request crashes targets")
     assert single_action(actions, Finish).reason is FinishReason.NO_TARGET
 
 
@@ -126,9 +126,9 @@
     exchange.start(0)
     end = UpstreamEnd(False, sent=False)
     exchange.attempt_started(0, 1, "E1")
-    assert single_action(exchange.upstream_end(0, 1, end), StartAttempt).number == 2
+    assert single_action(exchange.on_transfer_end(0, 1, end), StartAttempt).number == 2
     exchange.attempt_started(0, 2, "E2")
-    actions = exchange.upstream_end(0, 2, end)
+    actions = exchange.on_transfer_end(0, 2, end)
     next_start_time = single_action(actions, WaitUntil).time
     assert exchange.next_tick() == next_start_time > 0
     assert single_action(exchange.tick(next_start_time), StartAttempt).number == 3
@@ -138,11 +138,11 @@
     exchange = make_exchange()
     exchange.start(0)
     start_stream(exchange, weights="v1")
-    actions = exchange.upstream_end(1, 1, UpstreamEnd(True))
+    actions = exchange.on_transfer_end(1, 1, UpstreamEnd(True))
     assert single_action(actions, AttemptFailed).cause is FailureCause.EMPTY
     assert single_action(actions, StartAttempt).weights == ""
     start_stream(exchange, 2, weights="v2")
-    actions = exchange.body(1, 2, engine_event(1))
+    actions = exchange.on_response_chunk(1, 2, engine_event(1))
     assert single_action(actions, SendBytes).data.startswith(b"id: B-v2.1\n")
 
 
@@ -150,7 +150,7 @@
     exchange = make_exchange()
     exchange.start(0)
     start_stream(exchange)
-    actions = exchange.body(0, 1, END_MARKER)
+    actions = exchange.on_response_chunk(0, 1, END_MARKER)
     assert single_action(actions, AttemptFailed).cause is FailureCause.EMPTY
     assert not find_actions(actions, SendHead)
 
@@ -159,29 +159,29 @@
     exchange = make_exchange(resume_after=2, weights="v1")
     assert single_action(exchange.start(0), StartAttempt).resume_after == 2
     start_stream(exchange)
-    actions = exchange.body(
+    actions = exchange.on_response_chunk(
         0, 1, engine_event(1) + engine_event(2) + engine_event(3) + END_MARKER
     )
     assert single_action(actions, SendBytes).data == caller_event(3) + END_MARKER
 
 
 def test_withdrawn_key_ends_a_running_stream(running):
-    actions = running.key_withdrawn(1)
+    actions = running.on_key_withdrawn(1)
     assert single_action(actions, CancelAttempt).number == 1
     assert b'"key-withdrawn"' in single_action(actions, SendBytes).data
     assert single_action(actions, Finish).reason is FinishReason.KEY_WITHDRAWN
-    assert running.body(1, 1, engine_event(3)) == ()
+    assert running.on_response_chunk(1, 1, engine_event(3)) == ()
 
 
 def test_withdrawn_key_before_the_request_is_sent_gives_not_run_mark():
     exchange = make_exchange()
     exchange.start(0)
-    finish = single_action(exchange.key_withdrawn(0), Finish)
-    assert (finish.mark, finish.status) == (RunMark.NOT_RUN, 401)
+    finish = single_action(exchange.on_key_withdrawn(0), Finish)
+    assert (finish.run_status, finish.status) == (RunStatus.NOT_RUN, 401)
 
 
 def test_caller_disconnect_cancels_the_attempt(running):
-    actions = running.caller_gone(1)
+    actions = running.on_caller_disconnected(1)
     assert single_action(actions, CancelAttempt).number == 1
     assert not find_actions(actions, SendBytes)
 
@@ -189,8 +189,8 @@
 def test_pause_holds_events_and_resume_delivers_them(running):
     assert single_action(running.pause(1, PauseReason.KEY), PauseUpstream).number == 1
     assert running.pause(1, PauseReason.QUOTA) == ()
-    assert running.body(1, 1, engine_event(3) + END_MARKER) == ()
-    assert running.upstream_end(1, 1, UpstreamEnd(True)) == ()
+    assert running.on_response_chunk(1, 1, engine_event(3) + END_MARKER) == ()
+    assert running.on_transfer_end(1, 1, UpstreamEnd(True)) == ()
     assert running.resume(2, PauseReason.KEY) == ()
     actions = running.resume(2, PauseReason.QUOTA)
     assert single_action(actions, SendBytes).data == caller_event(3) + END_MARKER
@@ -207,7 +207,7 @@
 
 def test_engine_lost_while_paused_is_replaced_after_the_pause(running):
     running.pause(1, PauseReason.KEY)
-    assert running.upstream_end(1, 1, UpstreamEnd(False)) == ()
+    assert running.on_transfer_end(1, 1, UpstreamEnd(False)) == ()
     actions = running.resume(9, PauseReason.KEY)
     assert single_action(actions, StartAttempt).resume_after == 2
 
@@ -232,11 +232,11 @@
     exchange = make_exchange(settings)
     exchange.start(0)
     start_stream(exchange)
-    exchange.body(0, 1, engine_event(1))
+    exchange.on_response_chunk(0, 1, engine_event(1))
     exchange.pause(0, PauseReason.CALLER)
     for number in (2, 3, 4):
-        exchange.body(0, 1, engine_event(number))
-    assert exchange.body(0, 1, engine_event(5))[0] == CancelAttempt(1)
+        exchange.on_response_chunk(0, 1, engine_event(number))
+    assert exchange.on_response_chunk(0, 1, engine_event(5))[0] == CancelAttempt(1)
     assert exchange.buffered_bytes == 0
     start = single_action(exchange.resume(1, PauseReason.CALLER), StartAttempt)
     assert (start.resume_after, start.exclude) == (1, frozenset())
@@ -245,9 +245,9 @@
 def receive_buffered_response(exchange, number, status=200, body=b"{}", **kwargs):
     exchange.attempt_started(0, number, f"E{number}")
     head = ResponseHead(status, (), "application/json", REQUEST_ID, **kwargs)
-    actions = exchange.head(0, number, head)
-    actions += exchange.body(0, number, body)
-    return actions + exchange.upstream_end(0, number, UpstreamEnd(True))
+    actions = exchange.on_response_head(0, number, head)
+    actions += exchange.on_response_chunk(0, number, body)
+    return actions + exchange.on_transfer_end(0, number, UpstreamEnd(True))
 
 
 def test_error_status_is_retried_and_delivered_without_further_target():
@@ -255,21 +255,21 @@
     exchange.start(0)
     actions = receive_buffered_response(exchange, 1, status=500, body=b"boom")
     assert not find_actions(actions, SendHead)
-    actions = exchange.no_target(0, 2, "none")
+    actions = exchange.on_no_target(0, 2, "none")
     assert single_action(actions, SendHead).status == 500
     assert single_action(actions, SendBytes).data == b"boom"
 
 
 @pytest.mark.parametrize(
-    ("status", "mark"), [(503, RunMark.UNKNOWN), (500, RunMark.RAN)]
+    ("status", "mark"), [(503, RunStatus.UNKNOWN), (500, RunStatus.RAN)]
 )
 def test_error_status_of_a_non_idempotent_request_is_not_retried(status, mark):
     exchange = make_exchange(stream=False, idempotent=False)
     exchange.start(0)
     actions = receive_buffered_response(exchange, 1, status=status)
     assert not find_actions(actions, StartAttempt)
-    assert single_action(actions, SendHead).mark is mark
-    assert single_action(actions, Finish).mark is mark
+    assert single_action(actions, SendHead).run_status is mark
+    assert single_action(actions, Finish).run_status is mark
 
 
 def test_not_run_refusal_of_a_non_idempotent_request_is_retried():
@@ -279,16 +279,16 @@
         exchange, 1, status=503, not_run=True, retry_after_s=2.0
     )
     assert single_action(actions, StartAttempt).number == 2
-    finish = single_action(exchange.no_target(0, 2, "none"), Finish)
-    assert (finish.mark, finish.retry_after_s) == (RunMark.NOT_RUN, 2.0)
+    finish = single_action(exchange.on_no_target(0, 2, "none"), Finish)
+    assert (finish.run_status, finish.retry_after_s) == (RunStatus.NOT_RUN, 2.0)
 
 
 def test_close_after_the_request_was_written_gives_unknown_mark():
     exchange = make_exchange(stream=False, idempotent=False)
     exchange.start(0)
     exchange.attempt_started(0, 1, "P1")
-    finish = single_action(exchange.upstream_end(0, 1, UpstreamEnd(False)), Finish)
-    assert (finish.mark, finish.status) == (RunMark.UNKNOWN, 502)
+    finish = single_action(exchange.on_transfer_end(0, 1, UpstreamEnd(False)), Finish)
+    assert (finish.run_status, finish.status) == (RunStatus.UNKNOWN, 502)
 
 
 def test_response_to_another_request_is_rejected():
@@ -296,7 +296,7 @@
     exchange.start(0)
     exchange.attempt_started(0, 1, "E1")
     head = ResponseHead(200, (), "application/json", "another")
-    actions = exchange.head(0, 1, head)
+    actions = exchange.on_response_head(0, 1, head)
     assert single_action(actions, CancelAttempt).number == 1
     assert single_action(actions, AttemptFailed).cause is FailureCause.WRONG_REQUEST
 
@@ -305,7 +305,7 @@
     exchange = make_exchange(echo_required=True)
     exchange.start(0)
     exchange.attempt_started(0, 1, "E1")
-    actions = exchange.head(0, 1, ResponseHead(200, (), EVENT_STREAM))
+    actions = exchange.on_response_head(0, 1, ResponseHead(200, (), EVENT_STREAM))
     assert single_action(actions, AttemptFailed).cause is FailureCause.WRONG_REQUEST
 
 
@@ -315,7 +315,7 @@
     exchange.start(0)
     actions = receive_buffered_response(exchange, 1, body=b"x" * 11)
     assert single_action(actions, AttemptFailed).cause is FailureCause.TOO_LARGE
-    assert single_action(actions, Finish).mark is RunMark.UNKNOWN
+    assert single_action(actions, Finish).run_status is RunStatus.UNKNOWN
 
 
 def test_buffered_response_waits_for_key_verification():
--- a/tests/test_streams/test_exchange_properties.py
+++ b/tests/test_streams/test_exchange_properties.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from berylnotch.streams.actions import FinishReason, RunMark
+from berylnotch.streams.actions import FinishReason, RunStatus
 from berylnotch.streams.inputs import ExchangeSettings
 
 from .fakes import (
@@ -61,16 +61,16 @@
 def test_marks_match_actual_runs(scripts, stream, idempotent):
     exchange = make_exchange(stream=stream, idempotent=idempotent)
     driver = ExchangeDriver(exchange, list(scripts), 5, stream=stream).run()
-    mark = driver.finish.mark
-    assert exchange.mark is mark
-    if mark is RunMark.NOT_RUN:
+    run_status = driver.finish.run_status
+    assert exchange.run_status is run_status
+    if run_status is RunStatus.NOT_RUN:
         assert driver.run_count == 0
-    if mark is RunMark.RAN:
+    if run_status is RunStatus.RAN:
         assert driver.run_count > 0
     if driver.run_count == 0:
-        assert mark is RunMark.NOT_RUN
+        assert run_status is RunStatus.NOT_RUN
     if driver.head is not None:
-        assert driver.head.mark is mark
+        assert driver.head.run_status is run_status
 
 
 @settings(max_examples=200)
@@ -129,14 +129,14 @@
                 number, sent = action.number, action.resume_after
                 exchange.attempt_started(0, number, f"E{number}")
                 head = ResponseHead(200, content_type="text/event-stream")
-                exchange.head(0, number, head)
+                exchange.on_response_head(0, number, head)
 
     perform(exchange.start(0))
     for step in steps:
         if step == "feed":
             sent += 1
             before = delivered
-            perform(exchange.body(0, number, engine_event(sent)))
+            perform(exchange.on_response_chunk(0, number, engine_event(sent)))
             assert not exchange.is_paused or delivered == before
         elif step == "go":
             perform(exchange.resume(0, PauseReason.KEY))
