--- a/benchmarks/stream_check.py
+++ b/benchmarks/stream_check.py
@@ -16,12 +16,12 @@
     ----------
     tokens : int
         Requested tokens; one more event reports the end of the generation.
-    last : int
+    last_number : int
         Highest event number received.
     events, duplicated, out_of_order, wrong : int
         Events received, repeated numbers, gaps in the numbers, and events whose
         text does not match their number.
-    ended : bool
+    has_ended : bool
         Whether the end marker was received.
     error : str
         Last error event; empty if there was none.
